--- a/crates/samphiregrade-gateway/src/access/freshness.rs
+++ b/crates/samphiregrade-gateway/src/access/freshness.rs
@@ -122,7 +122,7 @@
 
     /// Returns whether keys that are known may be served.
     #[must_use]
-    pub fn vouches(&self, now: BootTime) -> bool {
+    pub fn permits_known_keys(&self, now: BootTime) -> bool {
         let Some(longest) = self.rule.longest_age() else {
             return true;
         };
@@ -131,7 +131,7 @@
 
     /// Returns whether a key that is not known may be called unknown: it may have come with a newer configuration.
     #[must_use]
-    pub fn may_deny(&self, now: BootTime) -> bool {
+    pub fn permits_denial(&self, now: BootTime) -> bool {
         let longest = self.rule.longest_age().unwrap_or(LENIENT_AGE);
         self.age(now).is_some_and(|age| age <= longest)
     }
--- a/crates/samphiregrade-gateway/src/access/key_table.rs
+++ b/crates/samphiregrade-gateway/src/access/key_table.rs
@@ -40,9 +40,9 @@
 #[derive(Clone, Debug)]
 pub enum CallerIdentity {
     /// The configuration names no organisations.
-    Unasked,
+    KeyNotRequired,
     /// The route is open to all, and no key of the configuration was sent.
-    Open,
+    Anonymous,
     /// An organisation.
     Known(Arc<Organisation>),
 }
@@ -52,7 +52,7 @@
     #[must_use]
     pub fn organisation(&self) -> Option<&Arc<Organisation>> {
         match self {
-            Self::Unasked | Self::Open => None,
+            Self::KeyNotRequired | Self::Anonymous => None,
             Self::Known(organisation) => Some(organisation),
         }
     }
@@ -61,8 +61,8 @@
     #[must_use]
     pub fn scoped_id(&self, id: &str) -> smol_str::SmolStr {
         match self {
-            Self::Unasked => id.into(),
-            Self::Open => smol_str::format_smolstr!("0:{id}"),
+            Self::KeyNotRequired => id.into(),
+            Self::Anonymous => smol_str::format_smolstr!("0:{id}"),
             Self::Known(organisation) => {
                 let name = &organisation.name;
                 smol_str::format_smolstr!("{}:{name}{id}", name.len())
@@ -96,7 +96,7 @@
                 organisation: &record.name,
                 reason: "its name can't stand in a header; its keys are unknown",
             };
-            Logbook::of_process().record("organisation-bad", &line);
+            Logbook::global().record("organisation-bad", &line);
             return;
         }
         self.organisations += 1;
@@ -116,7 +116,7 @@
                 first: &first.name,
                 second: &organisation.name,
             };
-            Logbook::of_process().record("key-of-two-organisations", &line);
+            Logbook::global().record("key-of-two-organisations", &line);
             *holder = None;
         }
     }
--- a/crates/samphiregrade-gateway/src/dialect.rs
+++ b/crates/samphiregrade-gateway/src/dialect.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 use crate::model::{
-    AnswerMetadata, DispatchOrders, RequestMetadata, RoutingConfig, UpstreamEntry, UpstreamId,
+    DispatchHeaders, RequestMetadata, ResponseMetadata, RoutingConfig, UpstreamId, UpstreamRecord,
 };
 
 /// Revision of the key-value service; it grows with each change.
@@ -38,11 +38,11 @@
 
 /// How old what is read may be.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum ReadAge {
+pub enum ReadConsistency {
     /// As it is.
-    Newest,
+    Latest,
     /// Some seconds old, which is cheaper.
-    MayBeOld,
+    MayBeStale,
 }
 
 /// What lies under a key of the key-value service.
@@ -88,16 +88,16 @@
     /// Whether more values follow after the last one.
     pub has_more: bool,
     /// Revision of the service at that time.
-    pub at: StoreRevision,
+    pub revision: StoreRevision,
 }
 
 /// A change under the condition that the key is unchanged.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct StoreChange {
+pub struct StoreWrite {
     /// Key to write.
     pub key: SmolStr,
     /// Revision that it must have; 0 where it must not exist, `None` without a condition.
-    pub expected: Option<StoreRevision>,
+    pub expected_revision: Option<StoreRevision>,
     /// New value.
     pub value: Vec<u8>,
 }
@@ -111,20 +111,25 @@
     fn request_metadata(&self, head: &RequestHead) -> RequestMetadata;
 
     /// Decodes what an answer's head says.
-    fn answer_metadata(&self, head: &ResponseHead) -> AnswerMetadata;
+    fn response_metadata(&self, head: &ResponseHead) -> ResponseMetadata;
 
     /// Returns whether a header is the system's to set: a client's is not passed on.
     fn is_system_header(&self, field: &HeaderField) -> bool;
 
     /// Returns whether a header says who calls: it is not passed on where callers have keys.
-    fn is_caller_header(&self, field: &HeaderField) -> bool;
+    fn is_credential_header(&self, field: &HeaderField) -> bool;
 
     /// Writes the headers that the system sets on a dispatched request.
-    fn write_orders(&self, orders: &DispatchOrders, output: &mut BytesMut);
+    fn write_dispatch_headers(&self, orders: &DispatchHeaders, output: &mut BytesMut);
 
     /// Writes the headers of an answer of the instance's own: which request it answers, and when the client
     /// should come back.
-    fn write_refusal(&self, request: Option<&str>, wait: Option<Duration>, output: &mut BytesMut);
+    fn write_refusal_headers(
+        &self,
+        request: Option<&str>,
+        wait: Option<Duration>,
+        output: &mut BytesMut,
+    );
 
     /// Returns the key of the operators' configuration.
     fn configuration_key(&self) -> &'static str;
@@ -136,13 +141,13 @@
     fn upstream_prefix(&self) -> &'static str;
 
     /// Returns the upstream whose entry has the key.
-    fn upstream_of(&self, key: &str) -> Option<UpstreamId>;
+    fn upstream_id(&self, key: &str) -> Option<UpstreamId>;
 
     /// Returns the instance that an operator's key asks to empty.
-    fn retirement_of(&self, key: &str) -> Option<SmolStr>;
+    fn retiring_instance(&self, key: &str) -> Option<SmolStr>;
 
     /// Returns the key and value that tell whether an instance is empty.
-    fn retirement_status(&self, instance: &str, completed: bool) -> StoreChange;
+    fn retirement_status(&self, instance: &str, completed: bool) -> StoreWrite;
 
     /// Decodes the operators' configuration.
     ///
@@ -156,16 +161,16 @@
     /// # Errors
     ///
     /// [`DecodeError`] with the reason.
-    fn upstream(&self, id: &UpstreamId, value: &[u8]) -> Result<UpstreamEntry, DecodeError>;
+    fn upstream(&self, id: &UpstreamId, value: &[u8]) -> Result<UpstreamRecord, DecodeError>;
 
     /// Composes a read of all keys under a prefix, after a key.
-    fn read_call(&self, prefix: &str, after: Option<&str>, age: ReadAge) -> StoreCall;
+    fn read_call(&self, prefix: &str, after: Option<&str>, age: ReadConsistency) -> StoreCall;
 
     /// Composes a wait for changes under a prefix, after a revision.
     fn watch_call(&self, prefix: &str, after: StoreRevision, wait: Duration) -> StoreCall;
 
     /// Composes a change.
-    fn change_call(&self, change: &StoreChange) -> StoreCall;
+    fn write_call(&self, change: &StoreWrite) -> StoreCall;
 
     /// Decodes a page of a read or what a watch brought. An item that can't be decoded harms no other one.
     ///
--- a/crates/samphiregrade-gateway/src/exchange/admission.rs
+++ b/crates/samphiregrade-gateway/src/exchange/admission.rs
@@ -34,8 +34,8 @@
     credential: &CallerCredential,
 ) -> Result<CallerIdentity, RefusalReason> {
     let now = BootTime::now();
-    let vouches = context.freshness.vouches(now);
-    let may_deny = context.freshness.may_deny(now);
+    let vouches = context.freshness.permits_known_keys(now);
+    let may_deny = context.freshness.permits_denial(now);
     let routes = context.routes.load();
     let table: &RouteTable = routes.as_ref().ok_or(RefusalReason::NoConfiguration)?;
     match table.identify(route, credential) {
@@ -63,8 +63,8 @@
         begins,
         ahead: true,
     };
-    let source = if desk.take(&demand) {
-        TokenSource::AtHand
+    let source = if desk.take_token(&demand) {
+        TokenSource::Prefetched
     } else {
         ask_for_one(context, &demand).await?
     };
@@ -93,7 +93,7 @@
         request.version,
         request.begins_program(),
     );
-    let (admitted, prepared) = if context.limits.is_near(organisation.tag) {
+    let (admitted, prepared) = if context.limits.is_near_limit(organisation.tag) {
         (admitting.await?, preparing.await)
     } else {
         let (admitted, prepared) = tokio::join!(admitting, preparing);
@@ -122,42 +122,42 @@
         let Some(AskedHome { covers: true, .. }) = asked else {
             break;
         };
-        if desk.take(demand) {
+        if desk.take_token(demand) {
             return Ok(TokenSource::Home);
         }
         asked = ask_home(context, demand).await;
     }
     drop(waiting);
     let Some(AskedHome { grant, .. }) = asked else {
-        if !desk.take_alone(demand.organisation) {
+        if !desk.take_standalone(demand.organisation) {
             return Err(RefusalReason::LimitUnproved.into());
         }
         report_alone(context, *demand);
-        return Ok(TokenSource::Alone);
+        return Ok(TokenSource::Standalone);
     };
-    if desk.take(demand) {
+    if desk.take_token(demand) {
         return Ok(TokenSource::Home);
     }
-    desk.note_refusal(demand, &grant);
+    desk.record_refusal(demand, &grant);
     let wait = grant.retry_after;
     Err(over_limit(wait, grant.use_now))
 }
 
 /// Asks for tokens in advance where none is left, so that the next request needs not wait for one.
 fn ask_ahead(context: &Arc<EntryContext>, demand: TokenDemand) {
-    if !context.limits.begins_asking_ahead(demand.organisation) {
+    if !context.limits.begins_prefetch(demand.organisation) {
         return;
     }
     let context = context.clone();
     tokio::spawn(async move {
         // Without an answer the next request asks.
         let asked = ask_home(&context, &demand).await;
-        context.limits.end_asking_ahead(demand.organisation);
+        context.limits.end_prefetch(demand.organisation);
         let Some(AskedHome { grant, .. }) = asked else {
             return;
         };
         tokio::time::sleep(grant.lasts).await;
-        if context.limits.holds_lapsed(demand.organisation) {
+        if context.limits.has_lapsed_tokens(demand.organisation) {
             // What was not used counts until the home is told.
             let _ = ask_home(&context, &demand.report()).await;
         }
@@ -178,12 +178,12 @@
     }
     let context = context.clone();
     tokio::spawn(async move {
-        while context.limits.owes_report(demand.organisation) {
+        while context.limits.has_unreported_uses(demand.organisation) {
             tokio::time::sleep(REPORT_PAUSE).await;
             // Without an answer it is asked again.
             let _ = ask_home(&context, &demand.report()).await;
         }
-        context.limits.end_asking_ahead(demand.organisation);
+        context.limits.end_prefetch(demand.organisation);
     });
 }
 
@@ -192,8 +192,8 @@
     let keepers = context.keepers.load_full()?;
     let desk = &context.limits;
     let sent = BootTime::now();
-    let (ask, near) = desk.ask(demand, sent);
-    let grant = keepers.ask_allowance(&ask, near).await?;
+    let (ask, near) = desk.compose_request(demand, sent);
+    let grant = keepers.request_allowance(&ask, near).await?;
     desk.accept(demand.organisation, &grant, sent);
     let covers = grant.granted >= ask.used + u64::from(ask.waiting);
     Some(AskedHome { grant, covers })
--- a/crates/samphiregrade-gateway/src/exchange/attempt.rs
+++ b/crates/samphiregrade-gateway/src/exchange/attempt.rs
@@ -13,7 +13,7 @@
 use super::request::RoutedRequest;
 use super::survey::RunGuard;
 use crate::access::CallerIdentity;
-use crate::model::{AnswerMetadata, DispatchOrders};
+use crate::model::{DispatchHeaders, ResponseMetadata};
 use crate::upstream::{Outcome, Upstream};
 
 /// Longest head of an answer.
@@ -101,12 +101,12 @@
     let upstream = &chosen.upstream;
     let guard = RunGuard::begin(context, request, upstream);
     let _waiting = request
-        .is_served_first()
+        .expects_early_head()
         .then(|| upstream.await_head(context.outcomes.clone(), Instant::now()));
     let socket = match open(upstream).await {
         Ok(socket) => socket,
         Err(error) => {
-            return AttemptEnd::NotSent(format!("{} not reached: {error}", upstream.entry.id));
+            return AttemptEnd::NotSent(format!("{} not reached: {error}", upstream.record.id));
         }
     };
     // It may have waited, or the machine stood still.
@@ -126,7 +126,7 @@
         reusable: true,
         probes: chosen.probes,
     };
-    let id = &upstream.entry.id;
+    let id = &upstream.record.id;
     match sending.carry(&bytes).await {
         Ok(end) => end,
         Err(SendFailure::Upstream(error)) => AttemptEnd::Broken(format!("{id} {error}")),
@@ -159,11 +159,11 @@
             if head.status < 200 {
                 continue;
             }
-            self.upstream.hear(Instant::now());
+            self.upstream.record_response(Instant::now());
             let framing = head
                 .framing()
                 .map_err(SendFailure::upstream("answered badly"))?;
-            let metadata = self.context.dialect.answer_metadata(&head);
+            let metadata = self.context.dialect.response_metadata(&head);
             let own = &self.request.id;
             if metadata.request.as_ref().is_none_or(|id| id == own) {
                 return Ok(self.conclude(head, &metadata, framing, sent));
@@ -184,7 +184,7 @@
                 return head.map_err(SendFailure::upstream("gave no answer"));
             }
             let reached = self.check_reach(sent);
-            if self.request.may_begin_anew() {
+            if self.request.may_resend() {
                 reached.map_err(SendFailure::Path)?;
             }
         }
@@ -193,7 +193,7 @@
     /// Fails where no answer can be expected any more.
     fn check_reach(&self, sent: Instant) -> Result<(), String> {
         let now = Instant::now();
-        if self.upstream.is_out_of_reach(sent, now) {
+        if self.upstream.is_overdue(sent, now) {
             return Err("gave no answer: its failure domain is out of reach".to_owned());
         }
         if now.saturating_duration_since(sent) < UNACKNOWLEDGED_LIMIT {
@@ -202,7 +202,7 @@
         match self.socket.unacknowledged() {
             Ok(0) => Ok(()),
             Ok(bytes) => {
-                self.upstream.lose_domain(now);
+                self.upstream.mark_domain_unreachable(now);
                 Err(format!(
                     "gave no answer: its system has not acknowledged {bytes} bytes"
                 ))
@@ -217,7 +217,7 @@
     fn conclude(
         self,
         head: ResponseHead,
-        metadata: &AnswerMetadata,
+        metadata: &ResponseMetadata,
         framing: BodyFraming,
         sent: Instant,
     ) -> AttemptEnd {
@@ -234,12 +234,12 @@
                 .is_some_and(|load| load.running + load.waiting < load.slots);
             if head.status != 421 && has_room {
                 let outcomes = &self.context.outcomes;
-                outcomes.note(self.upstream.start_tag, Outcome::Bad, now);
+                outcomes.note(self.upstream.start_tag, Outcome::Failure, now);
             }
             return AttemptEnd::NotExecuted(head.status, metadata.retry_after);
         }
-        if self.upstream.succeed() {
-            log::info!("upstream {} answers again", self.upstream.entry.id);
+        if self.upstream.record_success() {
+            log::info!("upstream {} answers again", self.upstream.record.id);
         }
         if let Some(engine) = &self.request.service.engine {
             let prompt = &self.request.metadata.prompt;
@@ -262,10 +262,10 @@
 
 /// Notes that an upstream failed, and logs where it is left alone for a while with it.
 pub(super) fn note_failure(upstream: &Upstream, certain: bool, reason: &str) {
-    if upstream.fail(Instant::now(), certain) {
+    if upstream.record_failure(Instant::now(), certain) {
         log::info!(
             "upstream {} is left alone for a while: {reason}",
-            upstream.entry.id
+            upstream.record.id
         );
     }
 }
@@ -292,14 +292,14 @@
     head.fields.write_if(&mut bytes, |field| {
         let length = field.name.eq_ignore_ascii_case(b"content-length")
             || field.name.eq_ignore_ascii_case(b"expect");
-        let caller = !matches!(request.caller, CallerIdentity::Unasked)
-            && context.dialect.is_caller_header(field);
+        let caller = !matches!(request.caller, CallerIdentity::KeyNotRequired)
+            && context.dialect.is_credential_header(field);
         let own = context.dialect.is_system_header(field) || caller;
         !length && !head.fields.is_hop_by_hop(field) && !own
     });
-    let orders = DispatchOrders {
+    let orders = DispatchHeaders {
         time_left: request.time_left(Instant::now()),
-        upstream: upstream.entry.id.clone(),
+        upstream: upstream.record.id.clone(),
         priority: rank,
         pin: None,
         organisation: request
@@ -307,7 +307,7 @@
             .organisation()
             .map(|organisation| organisation.name.clone()),
     };
-    context.dialect.write_orders(&orders, &mut bytes);
+    context.dialect.write_dispatch_headers(&orders, &mut bytes);
     if !request.body.is_empty() || head.method.as_ref() != b"GET" {
         bytes.put_slice(format!("Content-Length: {}\r\n", request.body.len()).as_bytes());
     }
--- a/crates/samphiregrade-gateway/src/exchange/connection.rs
+++ b/crates/samphiregrade-gateway/src/exchange/connection.rs
@@ -24,10 +24,10 @@
 use crate::model::{ClientLimits, RequestKind, RequestMetadata};
 use crate::routing::{RouteTable, service_for};
 
-pub use accepting::{ServingTokens, serve_clients};
+pub use accepting::{ShutdownTokens, serve_clients};
 use reading::{BodyEnd, HeadEnd};
 
-async fn serve_stream(context: Arc<EntryContext>, stream: TcpStream, tokens: ServingTokens) {
+async fn serve_stream(context: Arc<EntryContext>, stream: TcpStream, tokens: ShutdownTokens) {
     let socket = match WireSocket::new(stream, &SocketLimits::default()) {
         Ok(socket) => socket,
         Err(error) => {
@@ -52,7 +52,7 @@
     context: Arc<EntryContext>,
     socket: WireSocket,
     age: ConnectionAge,
-    tokens: ServingTokens,
+    tokens: ShutdownTokens,
 }
 
 /// What a request needs before it can be sent.
@@ -134,7 +134,7 @@
 
     /// Returns whether a request may be taken: once nothing new is, only one that had come before and surely ends in time.
     fn may_take(&self, request: &RoutedRequest) -> bool {
-        !self.tokens.closing.is_cancelled() || self.context.outlasts(request.due)
+        !self.tokens.drain.is_cancelled() || self.context.can_complete_by(request.due)
     }
 
     /// Finds the request's route and service in the configuration as it is now.
@@ -184,7 +184,7 @@
             body,
             standing: ProgramStanding::default(),
             view: PlacementView::default(),
-            times: self.context.times_of(&service),
+            times: self.context.service_times(&service),
             urgency: table.urgency(&service.name, priority.unwrap_or(route.priority)),
             caller,
             token: None,
@@ -213,7 +213,7 @@
             biased;
             sent = send_request(&context, &mut request, turn.as_ref(), record) => sent.map_err(Some),
             () = self.socket.hung_up() => Err(None),
-            () = self.tokens.giving_up.cancelled() => Err(Some(give_up(record))),
+            () = self.tokens.abort.cancelled() => Err(Some(give_up(record))),
         };
         match sent {
             Err(None) => {
@@ -248,12 +248,12 @@
     ) -> bool {
         record.first_answer = Some(record.started.elapsed());
         let context = self.context.clone();
-        let keep = keep && !context.sends_away();
+        let keep = keep && !context.closes_connections();
         let upstream = answer.guard.upstream().clone();
         let client = RelayClient {
             socket: &mut self.socket,
             keep,
-            giving_up: &self.tokens.giving_up,
+            abort: &self.tokens.abort,
         };
         let end = relay_answer(
             &context,
@@ -268,7 +268,7 @@
                 record.status = status;
                 record.outcome = "answered";
                 if let Some(plan) = turn.filter(|plan| !plan.retained || status != 200) {
-                    plan.settle(&context, spent, Some(&upstream.entry));
+                    plan.settle(&context, spent, Some(&upstream.record));
                 }
                 keep
             }
@@ -299,7 +299,7 @@
         record.status = refusal.reason.status();
         let mut bytes = BytesMut::with_capacity(256);
         let id = Some(record.request.as_str()).filter(|id| !id.is_empty());
-        let keep = keep && !self.context.sends_away();
+        let keep = keep && !self.context.closes_connections();
         let kept = refusal.encode(&*self.context.dialect, id, keep, &mut bytes);
         if let Err(error) = self.socket.write(&bytes).await {
             record.add_detail(&format!("the refusal was not written: {error}"));
--- a/crates/samphiregrade-gateway/src/exchange/connection/accepting.rs
+++ b/crates/samphiregrade-gateway/src/exchange/connection/accepting.rs
@@ -8,27 +8,27 @@
 use super::serve_stream;
 use crate::accept::accept;
 use crate::exchange::context::EntryContext;
-use crate::exchange::waiting::take_waiting;
+use crate::exchange::waiting::drain_backlog;
 
 /// What ends connections while the instance stops; passed down to each of them.
 #[derive(Clone, Debug, Default)]
-pub struct ServingTokens {
+pub struct ShutdownTokens {
     /// Nothing new is taken: the listener closes and idle connections end. A request that is there already is taken only
     /// where it ends before what is under way is given up.
-    pub closing: CancellationToken,
+    pub drain: CancellationToken,
     /// What is under way is given up, each with an answer that says whether it may have run.
-    pub giving_up: CancellationToken,
+    pub abort: CancellationToken,
 }
 
 /// Accepts clients' connections until nothing more is taken.
 pub async fn serve_clients(
     context: Arc<EntryContext>,
     listener: TcpListener,
-    tokens: ServingTokens,
+    tokens: ShutdownTokens,
 ) {
     loop {
         let accepted = tokio::select! {
-            () = tokens.closing.cancelled() => break,
+            () = tokens.drain.cancelled() => break,
             accepted = accept(&listener, "a client's connection") => accepted,
         };
         if let Some(stream) = accepted {
@@ -39,7 +39,7 @@
         Ok(listener) => {
             let accept = || accept_now(&listener);
             let take = |stream| spawn_connection(&context, stream, &tokens);
-            take_waiting(accept, take).await;
+            drain_backlog(accept, take).await;
         }
         Err(error) => log::warn!("connections that waited were not accepted: {error}"),
     }
@@ -53,7 +53,7 @@
 }
 
 /// Serves a connection, which counts as open from here on: a task that has not begun must not be overlooked.
-fn spawn_connection(context: &Arc<EntryContext>, stream: TcpStream, tokens: &ServingTokens) {
+fn spawn_connection(context: &Arc<EntryContext>, stream: TcpStream, tokens: &ShutdownTokens) {
     let guard = context.open_connection();
     let serving = serve_stream(context.clone(), stream, tokens.clone());
     tokio::spawn(async move {
--- a/crates/samphiregrade-gateway/src/exchange/connection/reading.rs
+++ b/crates/samphiregrade-gateway/src/exchange/connection/reading.rs
@@ -43,7 +43,7 @@
             let read = tokio::select! {
                 biased;
                 read = tokio::time::timeout(limits.idle_timeout, self.socket.fill()) => read,
-                () = idle_end(&self.tokens.closing, &self.age) => return HeadEnd::Closed,
+                () = idle_end(&self.tokens.drain, &self.age) => return HeadEnd::Closed,
             };
             if !matches!(read, Ok(Ok(count)) if count > 0) {
                 return HeadEnd::Closed;
@@ -79,7 +79,7 @@
                 Ok(Ok(count)) if count > 0 => MoreRead::Some,
                 Ok(_) => MoreRead::Gone,
             },
-            () = self.tokens.giving_up.cancelled() => MoreRead::Refused(RefusalReason::Stopping),
+            () = self.tokens.abort.cancelled() => MoreRead::Refused(RefusalReason::Stopping),
         }
     }
 
--- a/crates/samphiregrade-gateway/src/exchange/context.rs
+++ b/crates/samphiregrade-gateway/src/exchange/context.rs
@@ -7,17 +7,19 @@
 
 use arc_swap::{ArcSwap, ArcSwapOption};
 
-use super::limit_desk::LimitDesk;
+use super::limit_desk::EntryLimiter;
 use super::turn_cache::TurnCache;
 use crate::access::{BootTime, KeyFreshness};
 use crate::dialect::Dialect;
 use crate::fact::KeeperClient;
-use crate::hold::hold;
+use crate::hold::lock_ignoring_poison;
 use crate::model::{DomainId, ServiceName, ServiceRecord};
 use crate::observe::GatewayMetrics;
 use crate::routing::RouteTable;
 use crate::settings::OrganisationSection;
-use crate::upstream::{AnsweredRequest, FirstParts, OutcomeBoard, ServiceTimes, UpstreamDirectory};
+use crate::upstream::{
+    AnsweredRequest, OutcomeTracker, PrefixShares, ServiceTimes, UpstreamDirectory,
+};
 
 /// The times of an instance that was told to stop.
 #[derive(Clone, Copy, Debug)]
@@ -38,15 +40,15 @@
     /// The keepers; `None` until the deployment's authority is known.
     pub keepers: ArcSwapOption<KeeperClient>,
     /// How often first parts of prompts are seen here.
-    pub first_parts: FirstParts,
+    pub first_parts: PrefixShares,
     /// Chains of turns that ended here.
     pub turns: TurnCache,
     /// What became of requests at upstreams.
-    pub outcomes: Arc<OutcomeBoard>,
+    pub outcomes: Arc<OutcomeTracker>,
     /// What requests of each service take.
     times: Mutex<HashMap<ServiceName, ServiceTimes>>,
     /// What is held of organisations' limits.
-    pub limits: LimitDesk,
+    pub limits: EntryLimiter,
     /// How fresh what is known of keys is.
     pub freshness: KeyFreshness,
     /// Counters.
@@ -77,12 +79,12 @@
             routes: ArcSwapOption::empty(),
             directory,
             keepers: ArcSwapOption::empty(),
-            first_parts: FirstParts::default(),
+            first_parts: PrefixShares::default(),
             turns,
             outcomes: Arc::default(),
             times: Mutex::default(),
-            limits: LimitDesk::new(instance, organisations),
-            freshness: KeyFreshness::new(organisations.freshness()),
+            limits: EntryLimiter::new(instance, organisations),
+            freshness: KeyFreshness::new(organisations.freshness_rule()),
             metrics,
             domain,
             stopping: OnceLock::new(),
@@ -94,15 +96,15 @@
 
     /// Returns what requests of a service take, as far as is known.
     #[must_use]
-    pub fn times_of(&self, service: &ServiceRecord) -> ServiceTimes {
-        let times = hold(&self.times);
+    pub fn service_times(&self, service: &ServiceRecord) -> ServiceTimes {
+        let times = lock_ignoring_poison(&self.times);
         let known = times.get(&service.name).copied();
         known.unwrap_or_else(|| first_times(service))
     }
 
     /// Notes how a request of a service went.
-    pub fn note_times(&self, service: &ServiceRecord, answered: &AnsweredRequest) {
-        let mut times = hold(&self.times);
+    pub fn record_times(&self, service: &ServiceRecord, answered: &AnsweredRequest) {
+        let mut times = lock_ignoring_poison(&self.times);
         times
             .entry(service.name.clone())
             .or_insert_with(|| first_times(service))
@@ -115,13 +117,13 @@
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let serves = self.routes.load().is_some() && self.cut_off_for().is_zero();
-        serves && self.vouches_for_keys() && !self.is_stopping()
+        serves && self.has_fresh_keys() && !self.is_stopping()
     }
 
     /// Returns whether requests with keys can be served: no key that may have been withdrawn for too long is.
     #[must_use]
-    pub fn vouches_for_keys(&self) -> bool {
-        !self.asks_for_keys() || self.freshness.vouches(BootTime::now())
+    pub fn has_fresh_keys(&self) -> bool {
+        !self.asks_for_keys() || self.freshness.permits_known_keys(BootTime::now())
     }
 
     /// Returns whether callers need keys.
@@ -143,12 +145,12 @@
     /// Returns whether clients should open their next connection anew: it then goes to an instance that is
     /// ready.
     #[must_use]
-    pub fn sends_away(&self) -> bool {
-        self.is_stopping() || !self.cut_off_for().is_zero() || !self.vouches_for_keys()
+    pub fn closes_connections(&self) -> bool {
+        self.is_stopping() || !self.cut_off_for().is_zero() || !self.has_fresh_keys()
     }
 
     /// Notes that the instance was told to stop, and how long after it what is under way is given up.
-    pub fn set_stopping(&self, time_left: Duration) {
+    pub fn begin_stopping(&self, time_left: Duration) {
         let told = Instant::now();
         let gives_up = told + time_left;
         // Told a second time, it is stopping already.
@@ -169,7 +171,7 @@
 
     /// Returns whether a request that must be answered by a time will have been before the instance ends.
     #[must_use]
-    pub fn outlasts(&self, due: Instant) -> bool {
+    pub fn can_complete_by(&self, due: Instant) -> bool {
         self.stopping
             .get()
             .is_none_or(|times| due <= times.gives_up)
--- a/crates/samphiregrade-gateway/src/exchange/dispatch.rs
+++ b/crates/samphiregrade-gateway/src/exchange/dispatch.rs
@@ -10,7 +10,7 @@
 use super::request::RoutedRequest;
 use super::survey::PlacementView;
 use crate::upstream::{
-    Candidate, LoadView, Outcome, Upstream, WorkEstimate, believed_loads, choose_upstream,
+    Candidate, LoadView, Outcome, Upstream, WorkEstimate, choose_upstream, estimate_loads,
 };
 
 /// Connections that may fail before one attempt of a client is refused: each has cost no more than a round trip.
@@ -43,7 +43,7 @@
         };
         let upstream = chosen.upstream.clone();
         tried.push(upstream.clone());
-        record.upstream = upstream.entry.id.clone();
+        record.upstream = upstream.record.id.clone();
         let sending = attempt(context, request, &chosen, record);
         let Ok(end) = tokio::time::timeout_at(request.due.into(), sending).await else {
             note_failure(&upstream, false, "no answer in time");
@@ -68,13 +68,15 @@
                 context.metrics.count_send("not-executed");
                 record.add_detail(&format!(
                     "{} says not executed with {status}",
-                    upstream.entry.id
+                    upstream.record.id
                 ));
                 refused_wait = wait;
             }
             AttemptEnd::Broken(reason) => {
                 let now = Instant::now();
-                context.outcomes.note(upstream.start_tag, Outcome::Bad, now);
+                context
+                    .outcomes
+                    .note(upstream.start_tag, Outcome::Failure, now);
                 note_failure(&upstream, false, &reason);
                 context.metrics.count_send("broken");
                 record.add_detail(&reason);
@@ -155,7 +157,7 @@
     let trusted: Vec<&Arc<Upstream>> = fit
         .iter()
         .copied()
-        .filter(|upstream| upstream.is_trusted(now))
+        .filter(|upstream| upstream.is_breaker_closed(now))
         .collect();
     if trusted.is_empty() { fit } else { trusted }
 }
@@ -170,7 +172,7 @@
     let explores = rand::random_bool(EXPLORING_SHARE);
     let views: Vec<LoadView> = fit.iter().map(|upstream| upstream.load_view(now)).collect();
     let mut candidates = Vec::with_capacity(fit.len());
-    for (upstream, load) in fit.iter().zip(believed_loads(&views)) {
+    for (upstream, load) in fit.iter().zip(estimate_loads(&views)) {
         let mut candidate = candidate(context, request, upstream, load, now);
         candidate.connected |= explores;
         candidates.push(candidate);
@@ -190,13 +192,13 @@
     let home = request.view.homes.contains(&upstream.start_tag);
     let mut candidate = upstream.candidate(load, prompt, home, &context.domain, now);
     if let Some(account) = request.view.account(upstream.start_tag) {
-        candidate.take_account(account, upstream.own_requests(), home);
+        candidate.apply_account(account, upstream.own_requests(), home);
     }
     // Another instance may have sent the turn before; the keepers have told where.
-    if let Some(uncached) = request.uncached_at_last_place(&upstream.entry) {
+    if let Some(uncached) = request.uncached_at_last_place(&upstream.record) {
         candidate.uncached_tokens = candidate.uncached_tokens.min(uncached);
     }
-    let repeatable = request.may_begin_anew();
+    let repeatable = request.may_resend();
     let doubt = context
         .outcomes
         .penalty(upstream.start_tag, repeatable, now);
@@ -206,8 +208,8 @@
 
 fn work_estimate(request: &RoutedRequest) -> WorkEstimate {
     WorkEstimate {
-        hold_milliseconds: request.times.hold().as_secs_f64() * 1000.0,
-        reading_rate: request.times.reading_rate(),
+        slot_milliseconds: request.times.slot_time().as_secs_f64() * 1000.0,
+        prefill_rate: request.times.prefill_rate(),
         on_engine: request.service.engine.is_some(),
     }
 }
@@ -236,12 +238,12 @@
     fit: &[&Arc<Upstream>],
     now: Instant,
 ) -> Option<ChosenUpstream> {
-    if !context.outcomes.has_leave() || !request.may_probe() {
+    if !context.outcomes.has_probe_permit() || !request.may_probe() {
         return None;
     }
     let probed = fit
         .iter()
-        .find(|upstream| context.outcomes.take_leave(upstream.start_tag, now))?;
+        .find(|upstream| context.outcomes.take_probe_permit(upstream.start_tag, now))?;
     Some(ChosenUpstream {
         upstream: (*probed).clone(),
         probes: true,
--- a/crates/samphiregrade-gateway/src/exchange/events.rs
+++ b/crates/samphiregrade-gateway/src/exchange/events.rs
@@ -4,7 +4,7 @@
 
 /// Collects the data of each whole event (the format of WHATWG's server-sent events).
 #[derive(Clone, Debug, Default)]
-pub struct EventTap {
+pub struct EventParser {
     line: BytesMut,
     data: BytesMut,
     has_data: bool,
@@ -14,7 +14,7 @@
     output: Option<BytesMut>,
 }
 
-impl EventTap {
+impl EventParser {
     /// Starts before the first event; `keep` where the data is wanted, not only the count.
     #[must_use]
     pub fn new(keep: bool) -> Self {
@@ -70,13 +70,13 @@
 
     /// Returns the whole events so far.
     #[must_use]
-    pub fn events(&self) -> u32 {
+    pub fn complete_events(&self) -> u32 {
         self.events
     }
 
     /// Returns events that have begun, the last one perhaps not whole.
     #[must_use]
-    pub fn begun(&self) -> u32 {
+    pub fn started_events(&self) -> u32 {
         let partial = self.has_data || !self.line.is_empty();
         self.events + u32::from(partial)
     }
--- a/crates/samphiregrade-gateway/src/exchange/limit_desk.rs
+++ b/crates/samphiregrade-gateway/src/exchange/limit_desk.rs
@@ -6,20 +6,20 @@
 
 use super::context::EntryContext;
 use crate::access::BootTime;
-use crate::hold::hold;
+use crate::hold::lock_ignoring_poison;
 use crate::limits::{
-    AllowanceAsk, AllowanceGrant, EntrySource, OrganisationAllowance, WindowLimit, WindowUse,
+    AllowanceGrant, AllowanceRequest, EntrySource, OrganisationAllowance, WindowLimit, WindowUse,
 };
 use crate::model::{OrganisationTag, name_tag};
 use crate::settings::OrganisationSection;
 
 /// What this entry holds of organisations' limits.
-pub struct LimitDesk {
+pub struct EntryLimiter {
     pub(super) source: EntrySource,
     allowances: Mutex<HashMap<OrganisationTag, OrganisationAllowance>>,
 }
 
-impl LimitDesk {
+impl EntryLimiter {
     /// Makes the desk of an entry that has just started.
     #[must_use]
     pub fn new(instance: &str, organisations: &OrganisationSection) -> Self {
@@ -28,37 +28,45 @@
                 instance: name_tag(instance),
                 life: rand::random(),
                 rule: organisations.limit_rule(),
-                ahead: true,
+                prefetch: true,
             },
             allowances: Mutex::default(),
         }
     }
 
-    pub(super) fn with<Output>(
+    pub(super) fn with_allowance<Output>(
         &self,
         organisation: OrganisationTag,
         action: impl FnOnce(&mut OrganisationAllowance) -> Output,
     ) -> Output {
-        action(hold(&self.allowances).entry(organisation).or_default())
+        action(
+            lock_ignoring_poison(&self.allowances)
+                .entry(organisation)
+                .or_default(),
+        )
     }
 
     /// Takes a token that is at hand.
-    pub(super) fn take(&self, demand: &TokenDemand) -> bool {
+    pub(super) fn take_token(&self, demand: &TokenDemand) -> bool {
         let window = self.source.rule.window;
-        self.with(demand.organisation, |allowance| {
+        self.with_allowance(demand.organisation, |allowance| {
             allowance.take(demand.begins, BootTime::now(), window)
         })
     }
 
-    pub(super) fn take_alone(&self, organisation: OrganisationTag) -> bool {
+    pub(super) fn take_standalone(&self, organisation: OrganisationTag) -> bool {
         let rule = self.source.rule;
-        self.with(organisation, |allowance| {
-            allowance.take_alone(BootTime::now(), &rule)
+        self.with_allowance(organisation, |allowance| {
+            allowance.take_standalone(BootTime::now(), &rule)
         })
     }
 
     /// Composes a question; returns with it whether the organisation was near its limit.
-    pub(super) fn ask(&self, demand: &TokenDemand, now: BootTime) -> (AllowanceAsk, bool) {
+    pub(super) fn compose_request(
+        &self,
+        demand: &TokenDemand,
+        now: BootTime,
+    ) -> (AllowanceRequest, bool) {
         let TokenDemand {
             organisation,
             limit,
@@ -66,12 +74,12 @@
             ahead,
         } = *demand;
         let source = EntrySource {
-            ahead: ahead && self.source.ahead,
+            prefetch: ahead && self.source.prefetch,
             ..self.source
         };
-        self.with(organisation, |allowance| {
-            let ask = allowance.ask(organisation, &source, limit, begins, now);
-            (ask, allowance.is_near())
+        self.with_allowance(organisation, |allowance| {
+            let ask = allowance.compose_request(organisation, &source, limit, begins, now);
+            (ask, allowance.is_near_limit())
         })
     }
 
@@ -81,52 +89,52 @@
         grant: &AllowanceGrant,
         sent: BootTime,
     ) {
-        self.with(organisation, |allowance| {
+        self.with_allowance(organisation, |allowance| {
             allowance.accept(grant, sent, BootTime::now());
         });
     }
 
     /// Returns whether the next request would have to wait for a home that may well refuse it.
-    pub(super) fn is_near(&self, organisation: OrganisationTag) -> bool {
-        self.with(organisation, |allowance| allowance.is_near())
+    pub(super) fn is_near_limit(&self, organisation: OrganisationTag) -> bool {
+        self.with_allowance(organisation, |allowance| allowance.is_near_limit())
     }
 
     /// Returns for how long requests like this one are refused without asking anew.
     pub(super) fn refused_for(&self, demand: &TokenDemand) -> Option<(Duration, WindowUse)> {
-        self.with(demand.organisation, |allowance| {
+        self.with_allowance(demand.organisation, |allowance| {
             allowance.refused_for(demand.begins, BootTime::now())
         })
     }
 
-    pub(super) fn note_refusal(&self, demand: &TokenDemand, grant: &AllowanceGrant) {
-        self.with(demand.organisation, |allowance| {
-            allowance.note_refusal(demand.begins, grant, BootTime::now());
+    pub(super) fn record_refusal(&self, demand: &TokenDemand, grant: &AllowanceGrant) {
+        self.with_allowance(demand.organisation, |allowance| {
+            allowance.record_refusal(demand.begins, grant, BootTime::now());
         });
     }
 
-    pub(super) fn begins_asking_ahead(&self, organisation: OrganisationTag) -> bool {
-        let ahead = self.source.ahead;
-        self.with(organisation, |allowance| {
-            ahead && allowance.begin_asking_ahead(BootTime::now())
+    pub(super) fn begins_prefetch(&self, organisation: OrganisationTag) -> bool {
+        let ahead = self.source.prefetch;
+        self.with_allowance(organisation, |allowance| {
+            ahead && allowance.begin_prefetch(BootTime::now())
         })
     }
 
     pub(super) fn begins_report(&self, organisation: OrganisationTag) -> bool {
-        self.with(organisation, OrganisationAllowance::begin_report)
+        self.with_allowance(organisation, OrganisationAllowance::begin_report)
     }
 
-    pub(super) fn owes_report(&self, organisation: OrganisationTag) -> bool {
-        self.with(organisation, |allowance| allowance.owes_report())
+    pub(super) fn has_unreported_uses(&self, organisation: OrganisationTag) -> bool {
+        self.with_allowance(organisation, |allowance| allowance.has_unreported_uses())
     }
 
-    pub(super) fn holds_lapsed(&self, organisation: OrganisationTag) -> bool {
-        self.with(organisation, |allowance| {
-            allowance.holds_lapsed(BootTime::now())
+    pub(super) fn has_lapsed_tokens(&self, organisation: OrganisationTag) -> bool {
+        self.with_allowance(organisation, |allowance| {
+            allowance.has_lapsed_tokens(BootTime::now())
         })
     }
 
-    pub(super) fn end_asking_ahead(&self, organisation: OrganisationTag) {
-        self.with(organisation, OrganisationAllowance::end_asking_ahead);
+    pub(super) fn end_prefetch(&self, organisation: OrganisationTag) {
+        self.with_allowance(organisation, OrganisationAllowance::end_prefetch);
     }
 }
 
@@ -171,7 +179,7 @@
             return;
         }
         let desk = &self.context.limits;
-        desk.with(self.organisation, OrganisationAllowance::give_back);
+        desk.with_allowance(self.organisation, OrganisationAllowance::give_back);
     }
 }
 
@@ -179,11 +187,11 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TokenSource {
     /// It had been granted in advance.
-    AtHand,
+    Prefetched,
     /// A home granted it.
     Home,
     /// No home answered.
-    Alone,
+    Standalone,
 }
 
 impl TokenSource {
@@ -191,22 +199,22 @@
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
-            Self::AtHand => "at-hand",
+            Self::Prefetched => "at-hand",
             Self::Home => "home",
-            Self::Alone => "alone",
+            Self::Standalone => "alone",
         }
     }
 }
 
 /// A request that counts as waiting for a token until it is dropped.
 pub(super) struct WaitingRequest<'desk> {
-    desk: &'desk LimitDesk,
+    desk: &'desk EntryLimiter,
     organisation: OrganisationTag,
 }
 
 impl<'desk> WaitingRequest<'desk> {
-    pub(super) fn begin(desk: &'desk LimitDesk, organisation: OrganisationTag) -> Self {
-        desk.with(organisation, OrganisationAllowance::begin_waiting);
+    pub(super) fn begin(desk: &'desk EntryLimiter, organisation: OrganisationTag) -> Self {
+        desk.with_allowance(organisation, OrganisationAllowance::begin_waiting);
         Self { desk, organisation }
     }
 }
@@ -214,6 +222,6 @@
 impl Drop for WaitingRequest<'_> {
     fn drop(&mut self) {
         self.desk
-            .with(self.organisation, OrganisationAllowance::end_waiting);
+            .with_allowance(self.organisation, OrganisationAllowance::end_waiting);
     }
 }
--- a/crates/samphiregrade-gateway/src/exchange/mod.rs
+++ b/crates/samphiregrade-gateway/src/exchange/mod.rs
@@ -16,10 +16,10 @@
 mod turn_cache;
 mod waiting;
 
-pub use connection::{ServingTokens, serve_clients};
+pub use connection::{ShutdownTokens, serve_clients};
 pub use context::EntryContext;
-pub use events::EventTap;
-pub use limit_desk::{LimitDesk, TokenSource};
+pub use events::EventParser;
+pub use limit_desk::{EntryLimiter, TokenSource};
 pub use refusal::{Refusal, RefusalReason};
 pub use turn_cache::TurnCache;
-pub use waiting::take_waiting;
+pub use waiting::drain_backlog;
--- a/crates/samphiregrade-gateway/src/exchange/outcome.rs
+++ b/crates/samphiregrade-gateway/src/exchange/outcome.rs
@@ -12,7 +12,7 @@
 use crate::access::BootTime;
 use crate::limits::WindowUse;
 use crate::model::RequestKind;
-use crate::observe::{Logbook, RequestCount};
+use crate::observe::{Logbook, RequestSample};
 
 /// What keepers told of upstreams before a request was placed.
 #[derive(Clone, Copy, Debug)]
@@ -206,8 +206,8 @@
             first_answer_ms: milliseconds(self.first_answer.unwrap_or_default()),
             total_ms: milliseconds(total),
         };
-        Logbook::of_process().record("request", &line);
-        context.metrics.count_request(&RequestCount {
+        Logbook::global().record("request", &line);
+        context.metrics.record_request(&RequestSample {
             kind: match self.kind {
                 None => "none",
                 Some(RequestKind::Idempotent) => "idempotent",
--- a/crates/samphiregrade-gateway/src/exchange/refusal.rs
+++ b/crates/samphiregrade-gateway/src/exchange/refusal.rs
@@ -198,7 +198,7 @@
             body.len()
         );
         output.put_slice(head.as_bytes());
-        dialect.write_refusal(request, self.retry_after, output);
+        dialect.write_refusal_headers(request, self.retry_after, output);
         if !keep {
             output.put_slice(b"Connection: close\r\n");
         }
--- a/crates/samphiregrade-gateway/src/exchange/relay.rs
+++ b/crates/samphiregrade-gateway/src/exchange/relay.rs
@@ -11,11 +11,11 @@
 
 use super::attempt::LiveAnswer;
 use super::context::EntryContext;
-use super::events::EventTap;
+use super::events::EventParser;
 use super::refusal::RefusalReason;
 use super::request::RoutedRequest;
 use super::turn::TurnPlan;
-use crate::model::UpstreamEntry;
+use crate::model::UpstreamRecord;
 use crate::upstream::{AnsweredRequest, Outcome};
 
 /// Silence of an answer after which it is given up where the way to its upstream was found to be cut: a lost packet is
@@ -81,7 +81,7 @@
     /// Whether the connection goes on after the answer.
     pub keep: bool,
     /// Ends what is under way.
-    pub giving_up: &'connection CancellationToken,
+    pub abort: &'connection CancellationToken,
 }
 
 struct Relay<'exchange> {
@@ -89,7 +89,7 @@
     client: RelayClient<'exchange>,
     request: &'exchange RoutedRequest,
     turn: Option<&'exchange TurnPlan>,
-    tap: EventTap,
+    tap: EventParser,
     framing: ClientFraming,
     begun: bool,
 }
@@ -120,7 +120,7 @@
         client,
         request,
         turn,
-        tap: EventTap::new(retained),
+        tap: EventParser::new(retained),
         framing,
         begun: false,
     };
@@ -133,11 +133,11 @@
     if result.is_ok() && status == 200 {
         let answered = AnsweredRequest {
             uncached,
-            made: spent,
-            first: answer.first,
+            generated_tokens: spent,
+            time_to_head: answer.first,
             total: answer.sent.elapsed(),
         };
-        context.note_times(&request.service, &answered);
+        context.record_times(&request.service, &answered);
     }
     let end = match result {
         Ok(()) => {
@@ -156,7 +156,7 @@
     /// Returns the tokens of all events of which the client may have seen something.
     fn spent(&self) -> u32 {
         let per_event = self.turn.map_or(0, |plan| plan.tokens_per_event);
-        self.tap.begun().saturating_mul(per_event)
+        self.tap.started_events().saturating_mul(per_event)
     }
 
     async fn run(&mut self, answer: &mut LiveAnswer, retained: bool) -> Result<(), Stop> {
@@ -166,7 +166,7 @@
             let ended = self.take_pieces(answer, &mut output)?;
             if ended && retained {
                 self.flush(&mut output).await?;
-                self.commit(&answer.guard.upstream().entry).await?;
+                self.commit(&answer.guard.upstream().record).await?;
             }
             if ended {
                 if self.framing == ClientFraming::Chunked {
@@ -181,11 +181,14 @@
                 biased;
                 read = answer.socket.fill() => read.map_err(|error| Stop::Upstream(error.to_string()))?,
                 () = self.client.socket.hung_up() => return Err(Stop::Client),
-                () = self.client.giving_up.cancelled() => return Err(Stop::Stopping),
+                () = self.client.abort.cancelled() => return Err(Stop::Stopping),
                 () = tokio::time::sleep_until(self.request.due.into()) => return Err(Stop::Due),
-                () = answer.guard.upstream().lost_for(SILENT_ON_LOST_PATH) => return Err(Stop::Path),
+                () = answer.guard.upstream().wait_until_unreachable(SILENT_ON_LOST_PATH) => return Err(Stop::Path),
             };
-            answer.guard.upstream().hear_domain(Instant::now());
+            answer
+                .guard
+                .upstream()
+                .record_domain_response(Instant::now());
             if count == 0 {
                 let closed = answer.decoder.close();
                 closed.map_err(|error| Stop::Upstream(error.to_string()))?;
@@ -233,12 +236,12 @@
         tokio::select! {
             biased;
             written = writing => written.map_err(|_| Stop::Client),
-            () = self.client.giving_up.cancelled() => Err(Stop::Stopping),
+            () = self.client.abort.cancelled() => Err(Stop::Stopping),
             () = tokio::time::sleep_until(self.request.due.into()) => Err(Stop::Due),
         }
     }
 
-    async fn commit(&mut self, upstream: &UpstreamEntry) -> Result<(), Stop> {
+    async fn commit(&mut self, upstream: &UpstreamRecord) -> Result<(), Stop> {
         let Some(plan) = self.turn else {
             return Ok(());
         };
@@ -252,7 +255,7 @@
             committed = plan.commit(self.context, output, spent, upstream) => {
                 committed.map_err(|_| Stop::NotDurable)?;
             }
-            () = last_commits(self.client.giving_up) => return Err(Stop::Stopping),
+            () = last_commits(self.client.abort) => return Err(Stop::Stopping),
             () = tokio::time::sleep_until(self.request.due.into()) => return Err(Stop::Due),
         }
         self.context.turns.keep(&plan.turn, chain.freeze());
@@ -281,17 +284,17 @@
         let upstream = answer.guard.upstream();
         let (outcome, detail, reason) = match stop {
             Stop::Upstream(error) => {
-                upstream.fail(Instant::now(), false);
-                let detail = format!("{} broke off: {error}", upstream.entry.id);
+                upstream.record_failure(Instant::now(), false);
+                let detail = format!("{} broke off: {error}", upstream.record.id);
                 ("upstream-broke-off", detail, RefusalReason::Broken)
             }
             Stop::Path => {
-                let detail = format!("the way to {} is cut", upstream.entry.id);
+                let detail = format!("the way to {} is cut", upstream.record.id);
                 ("upstream-unreachable", detail, RefusalReason::Broken)
             }
             Stop::Client => ("client-gone", String::new(), RefusalReason::Broken),
             Stop::Due => {
-                let detail = format!("{} was not done in time", upstream.entry.id);
+                let detail = format!("{} was not done in time", upstream.record.id);
                 ("late", detail, RefusalReason::Late)
             }
             Stop::NotDurable => {
@@ -315,8 +318,8 @@
 }
 
 /// Ends when a commit can't be waited for any longer because the instance ends.
-async fn last_commits(giving_up: &CancellationToken) {
-    giving_up.cancelled().await;
+async fn last_commits(abort: &CancellationToken) {
+    abort.cancelled().await;
     tokio::time::sleep(LAST_COMMITS).await;
 }
 
@@ -326,10 +329,10 @@
     match result {
         // The deadline passed while it worked: it may have been busy.
         Ok(()) if answer.head.status == 504 => None,
-        Ok(()) if failed => Some(Outcome::Bad),
+        Ok(()) if failed => Some(Outcome::Failure),
         Ok(()) if answer.probes => Some(Outcome::Recovered),
-        Ok(()) => Some(Outcome::Good),
-        Err(Stop::Upstream(_)) => Some(Outcome::Bad),
+        Ok(()) => Some(Outcome::Success),
+        Err(Stop::Upstream(_)) => Some(Outcome::Failure),
         Err(Stop::Path | Stop::Client | Stop::Due | Stop::NotDurable | Stop::Stopping) => None,
     }
 }
--- a/crates/samphiregrade-gateway/src/exchange/request.rs
+++ b/crates/samphiregrade-gateway/src/exchange/request.rs
@@ -8,7 +8,7 @@
 use smol_str::SmolStr;
 
 use crate::access::CallerIdentity;
-use crate::model::{ConfigVersion, RequestMetadata, RouteRecord, ServiceRecord, UpstreamEntry};
+use crate::model::{ConfigVersion, RequestMetadata, RouteRecord, ServiceRecord, UpstreamRecord};
 use crate::upstream::{ProgramProgress, ServiceTimes, TurnPace, UrgencyClass, turn_rank};
 
 use super::limit_desk::LimitToken;
@@ -52,7 +52,7 @@
 impl RoutedRequest {
     /// Returns the tokens that an upstream would have to read where the turn before ran there.
     #[must_use]
-    pub fn uncached_at_last_place(&self, upstream: &UpstreamEntry) -> Option<u32> {
+    pub fn uncached_at_last_place(&self, upstream: &UpstreamRecord) -> Option<u32> {
         let place =
             self.standing.last_place.as_ref().filter(|place| {
                 place.upstream == upstream.id && place.started == upstream.started
@@ -76,7 +76,7 @@
 
     /// Returns whether its answer should begin at once: it is no turn that may have to wait behind others.
     #[must_use]
-    pub fn is_served_first(&self) -> bool {
+    pub fn expects_early_head(&self) -> bool {
         if self.service.engine.is_none() {
             return true;
         }
@@ -87,7 +87,7 @@
     /// Returns whether its caller may send it again where it is not known whether it ran: it may run more than once,
     /// or it is a turn, which leaves nothing behind but its answer.
     #[must_use]
-    pub fn may_begin_anew(&self) -> bool {
+    pub fn may_resend(&self) -> bool {
         let is_turn = self.service.engine.is_some() && self.metadata.program.is_some();
         self.route.may_repeat() || is_turn
     }
@@ -95,17 +95,17 @@
     /// Returns whether it may be sent to an upstream that is doubted, to see whether that has recovered.
     #[must_use]
     pub fn may_probe(&self) -> bool {
-        self.route.may_repeat() || (self.may_begin_anew() && !self.progress().has_begun())
+        self.route.may_repeat() || (self.may_resend() && !self.progress().has_begun())
     }
 
     fn progress(&self) -> ProgramProgress {
         let mut progress = self.standing.progress;
-        progress.left = self.metadata.program_deadline;
+        progress.time_left = self.metadata.program_deadline;
         if let Some(program) = &self.metadata.program {
             progress.tag = blake3::hash(program.as_bytes()).as_bytes()[0];
         }
         if self.metadata.previous_turn.is_some() {
-            progress.ended_turns = progress.ended_turns.max(1);
+            progress.completed_turns = progress.completed_turns.max(1);
         }
         progress
     }
--- a/crates/samphiregrade-gateway/src/exchange/survey.rs
+++ b/crates/samphiregrade-gateway/src/exchange/survey.rs
@@ -8,8 +8,8 @@
 use crate::fact::KeeperClient;
 use crate::model::UpstreamTag;
 use crate::upstream::{
-    AccountQuestion, InFlightGuard, RunEnd, RunStart, SharedPart, Upstream, UpstreamAccount,
-    ranked_homes,
+    AccountQuery, InFlightGuard, RunEnd, RunStart, SharedPrefix, Upstream, UpstreamAccount,
+    rank_homes,
 };
 
 /// Longest wait for the keepers' accounts: several round trips within a region. A keeper that is just being cut off
@@ -48,20 +48,20 @@
     let (Some(part), Some(engine)) = (prompt.first(), &request.service.engine) else {
         return PlacementView::default();
     };
-    let first = SharedPart {
+    let first = SharedPrefix {
         tag: part.tag,
         tokens: part.tokens,
         share: context.first_parts.count(part.tag, Instant::now()),
         capacity: engine.cache_tokens,
     };
     let SurveyPlan { homes, upstreams } = plan_survey(context, request, &first);
-    let question = AccountQuestion {
+    let question = AccountQuery {
         service: request.service.name.clone(),
         upstreams,
         prompt: prompt.clone(),
     };
     let accounts = match context.keepers.load_full() {
-        Some(keepers) => keepers.accounts(&question, SURVEY_WAIT).await,
+        Some(keepers) => keepers.query_accounts(&question, SURVEY_WAIT).await,
         None => Vec::new(),
     };
     PlacementView { homes, accounts }
@@ -73,7 +73,11 @@
     upstreams: Vec<UpstreamTag>,
 }
 
-fn plan_survey(context: &EntryContext, request: &RoutedRequest, first: &SharedPart) -> SurveyPlan {
+fn plan_survey(
+    context: &EntryContext,
+    request: &RoutedRequest,
+    first: &SharedPrefix,
+) -> SurveyPlan {
     let directory = context.directory.load();
     let fit: Vec<_> = directory
         .of(&request.service.name)
@@ -81,12 +85,12 @@
         .filter(|upstream| upstream.takes_requests())
         .collect();
     let engines: Vec<u64> = fit.iter().map(|upstream| upstream.tag).collect();
-    let ranking = ranked_homes(first, &engines);
+    let ranking = rank_homes(first, &engines);
     let homes = ranking.homes().iter().map(|&index| fit[index].start_tag);
     let homes = homes.collect();
     let mut upstreams = Vec::with_capacity(1 + HOMES_ASKED + SPARES_ASKED);
     for upstream in &fit {
-        if request.uncached_at_last_place(&upstream.entry).is_some() {
+        if request.uncached_at_last_place(&upstream.record).is_some() {
             upstreams.push(upstream.start_tag);
         }
     }
@@ -141,7 +145,7 @@
             upstream: upstream.start_tag,
             run: rand::random(),
         };
-        keepers.tell_start(RunStart {
+        keepers.report_run_start(RunStart {
             upstream: end.upstream,
             run: end.run,
             service: request.service.name.clone(),
@@ -155,6 +159,6 @@
 
 impl Drop for ToldRun {
     fn drop(&mut self) {
-        self.keepers.tell_end(self.end);
+        self.keepers.report_run_end(self.end);
     }
 }
--- a/crates/samphiregrade-gateway/src/exchange/turn.rs
+++ b/crates/samphiregrade-gateway/src/exchange/turn.rs
@@ -11,7 +11,7 @@
 use crate::fact::{
     ChainLookup, FactFailure, FactRecord, Reservation, ReserveOutcome, TurnFact, TurnPlace,
 };
-use crate::model::{ProgramId, SessionId, TurnId, UpstreamEntry};
+use crate::model::{ProgramId, SessionId, TurnId, UpstreamRecord};
 use crate::upstream::ProgramProgress;
 
 /// How long budgets last where a route keeps no turns: a stopped program that comes back is still known.
@@ -140,7 +140,7 @@
         let fact = self.reservation(None, None);
         let reserving = keepers.reserve(&self.program, fact, budget, &self.turn, self.most);
         match reserving.await {
-            Ok(ReserveOutcome::Held(ledger)) => Ok(ProgramStanding {
+            Ok(ReserveOutcome::Reserved(ledger)) => Ok(ProgramStanding {
                 last_place: ledger.last_place(Some(&self.session)).cloned(),
                 progress: ledger.progress(),
             }),
@@ -152,7 +152,9 @@
                 );
                 Err(RefusalReason::OverBudget)
             }
-            Err(FactFailure::NoPlacement | FactFailure::TooFew) => Err(RefusalReason::NoKeepers),
+            Err(FactFailure::NoPlacement | FactFailure::NoMajority) => {
+                Err(RefusalReason::NoKeepers)
+            }
         }
     }
 
@@ -189,7 +191,7 @@
     }
 
     /// Describes where the turn ran.
-    fn place(&self, upstream: Option<&UpstreamEntry>, spent: u32) -> Option<TurnPlace> {
+    fn place(&self, upstream: Option<&UpstreamRecord>, spent: u32) -> Option<TurnPlace> {
         let upstream = upstream?;
         Some(TurnPlace {
             session: self.session.clone(),
@@ -200,13 +202,13 @@
     }
 
     /// Tells the keepers what the turn took, and where it ran.
-    pub fn settle(&self, context: &EntryContext, spent: u32, upstream: Option<&UpstreamEntry>) {
+    pub fn settle(&self, context: &EntryContext, spent: u32, upstream: Option<&UpstreamRecord>) {
         if self.budget.is_none() {
             return;
         }
         if let Some(keepers) = context.keepers.load_full() {
             let place = self.place(upstream, spent);
-            keepers.note(&self.program, &self.reservation(Some(spent), place));
+            keepers.store_in_background(&self.program, &self.reservation(Some(spent), place));
         }
     }
 
@@ -220,7 +222,7 @@
         context: &EntryContext,
         output: Bytes,
         spent: u32,
-        upstream: &UpstreamEntry,
+        upstream: &UpstreamRecord,
     ) -> Result<(), FactFailure> {
         let keepers = context
             .keepers
@@ -230,7 +232,7 @@
         keepers.store(&self.program, fact).await
     }
 
-    fn fact(&self, output: Bytes, spent: u32, upstream: &UpstreamEntry) -> TurnFact {
+    fn fact(&self, output: Bytes, spent: u32, upstream: &UpstreamRecord) -> TurnFact {
         TurnFact {
             program: self.program.clone(),
             turn: self.turn.clone(),
--- a/crates/samphiregrade-gateway/src/exchange/waiting.rs
+++ b/crates/samphiregrade-gateway/src/exchange/waiting.rs
@@ -17,7 +17,7 @@
 ///
 /// Closing the listener resets what is left in the queue, though its clients may have sent their requests: one
 /// connection that is gone again, or a moment without descriptors, must not cost all that wait behind it.
-pub async fn take_waiting<Accept, Connection, Take>(mut accept: Accept, mut take: Take)
+pub async fn drain_backlog<Accept, Connection, Take>(mut accept: Accept, mut take: Take)
 where
     Accept: FnMut() -> io::Result<Connection>,
     Take: FnMut(Connection),
--- a/crates/samphiregrade-gateway/src/fact/accounts.rs
+++ b/crates/samphiregrade-gateway/src/fact/accounts.rs
@@ -8,7 +8,7 @@
 use super::message::{KeeperReply, KeeperRequest};
 use super::placement::{KeeperPlacement, KeeperSlot};
 use crate::model::UpstreamTag;
-use crate::upstream::{AccountQuestion, RunEnd, RunStart, UpstreamAccount};
+use crate::upstream::{AccountQuery, RunEnd, RunStart, UpstreamAccount};
 
 /// A keeper with the upstreams that it is asked about.
 struct AccountErrand {
@@ -18,19 +18,19 @@
 
 impl KeeperClient {
     /// Tells an upstream's keepers that a request is about to be sent there.
-    pub fn tell_start(&self, start: RunStart) {
+    pub fn report_run_start(&self, start: RunStart) {
         self.tell_accountants(start.upstream, &KeeperRequest::RunBegan(start));
     }
 
     /// Tells an upstream's keepers that a request is over there.
-    pub fn tell_end(&self, end: RunEnd) {
+    pub fn report_run_end(&self, end: RunEnd) {
         self.tell_accountants(end.upstream, &KeeperRequest::RunEnded(end));
     }
 
     /// Asks how upstreams stand; resolves after the time at the latest, with what has come by then.
-    pub async fn accounts(
+    pub async fn query_accounts(
         &self,
-        question: &AccountQuestion,
+        question: &AccountQuery,
         wait: Duration,
     ) -> Vec<UpstreamAccount> {
         let placement = self.placement.load_full();
@@ -40,7 +40,7 @@
             let client = self.clone();
             let placement = placement.clone();
             let sender = sender.clone();
-            let request = KeeperRequest::Accounts(AccountQuestion {
+            let request = KeeperRequest::Accounts(AccountQuery {
                 service: question.service.clone(),
                 upstreams: errand.upstreams,
                 prompt: question.prompt.clone(),
@@ -84,7 +84,7 @@
         request: KeeperRequest,
     ) {
         let envelope = self.envelope(slot, placement, request);
-        if let Err(error) = self.links.tell(slot.address, &envelope) {
+        if let Err(error) = self.links.notify(slot.address, &envelope) {
             log::debug!("keeper={} {error}", slot.name);
         }
     }
@@ -97,7 +97,7 @@
     ) -> Vec<&'placement KeeperSlot> {
         let now = Instant::now();
         let mut slots = Vec::with_capacity(2);
-        for index in placement.accountants(tag) {
+        for index in placement.account_slots(tag) {
             let slot = &placement.slots[index];
             if self.health.is_within_reach(&slot.name, now) {
                 slots.push(slot);
--- a/crates/samphiregrade-gateway/src/fact/allowances.rs
+++ b/crates/samphiregrade-gateway/src/fact/allowances.rs
@@ -5,7 +5,7 @@
 use super::client::KeeperClient;
 use super::message::{KeeperReply, KeeperRequest};
 use super::placement::{KeeperPlacement, KeeperSlot};
-use crate::limits::{AllowanceAsk, AllowanceGrant};
+use crate::limits::{AllowanceGrant, AllowanceRequest};
 
 /// Longest wait for a home: dozens of round trips, and short against the time of a request that waits for a token.
 const HOME_TIMEOUT: Duration = Duration::from_millis(80);
@@ -15,7 +15,11 @@
     ///
     /// Where the organisation is near its limit the second home is told as well, so that it knows what is used when it
     /// has to take over.
-    pub async fn ask_allowance(&self, ask: &AllowanceAsk, near: bool) -> Option<AllowanceGrant> {
+    pub async fn request_allowance(
+        &self,
+        ask: &AllowanceRequest,
+        near: bool,
+    ) -> Option<AllowanceGrant> {
         let placement = self.placement.load_full();
         let homes = self.accountants_within_reach(&placement, ask.organisation);
         for (index, &home) in homes.iter().enumerate() {
@@ -32,7 +36,12 @@
         None
     }
 
-    fn tell_homes(&self, placement: &KeeperPlacement, homes: &[&KeeperSlot], ask: &AllowanceAsk) {
+    fn tell_homes(
+        &self,
+        placement: &KeeperPlacement,
+        homes: &[&KeeperSlot],
+        ask: &AllowanceRequest,
+    ) {
         let mut report = ask.clone();
         // It was granted elsewhere, and only has to be counted.
         report.used += u64::from(report.waiting);
--- a/crates/samphiregrade-gateway/src/fact/book.rs
+++ b/crates/samphiregrade-gateway/src/fact/book.rs
@@ -93,13 +93,13 @@
 
 /// All facts of a keeper.
 #[derive(Default)]
-pub struct FactBook {
+pub struct FactIndex {
     programs: HashMap<ProgramId, ProgramEntry>,
     turns: HashMap<TurnId, TurnEntry>,
     live_bytes: usize,
 }
 
-impl FactBook {
+impl FactIndex {
     /// Takes a fact in; returns whether it told anything new.
     pub fn take(&mut self, fact: &FactRecord, now: Instant) -> bool {
         match fact {
--- a/crates/samphiregrade-gateway/src/fact/client.rs
+++ b/crates/samphiregrade-gateway/src/fact/client.rs
@@ -11,15 +11,15 @@
 use tokio::sync::mpsc;
 
 use super::health::KeeperHealth;
-use super::helper::{HelperAddress, HelperBook};
+use super::helper::{HelperAddress, HelperTable};
 use super::message::{ChainAnswer, FactRecord, KeeperReply, KeeperRequest, ProgramLedger};
-use super::news::NewsBoard;
+use super::news::LagMonitor;
 use super::placement::{KeeperPlacement, KeeperSlot};
 use crate::limits::InstanceTag;
 use crate::link::LinkEndpoint;
 use crate::model::{ProgramId, TurnId, name_tag};
 use crate::observe::GatewayMetrics;
-use crate::upstream::OutcomeBoard;
+use crate::upstream::OutcomeTracker;
 
 /// Longest wait for one keeper: dozens of round trips and syncs, and short against a client's deadline.
 pub(super) const ASK_TIMEOUT: Duration = Duration::from_millis(400);
@@ -40,14 +40,14 @@
     NoPlacement,
     /// Too few keepers answered.
     #[error("too few keepers answer; ask again when they are back")]
-    TooFew,
+    NoMajority,
 }
 
 /// What became of a reservation.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ReserveOutcome {
     /// The tokens are set aside; this is what is known of the program.
-    Held(ProgramLedger),
+    Reserved(ProgramLedger),
     /// The budget does not hold the turn.
     OverBudget(ProgramLedger),
 }
@@ -70,15 +70,15 @@
     /// This instance, as others may use it as a helper.
     pub(super) own: HelperAddress,
     pub(super) health: Arc<KeeperHealth>,
-    outcomes: Arc<OutcomeBoard>,
+    outcomes: Arc<OutcomeTracker>,
     /// Number of its own, by which it orders keepers.
     pub(super) seed: u64,
     /// Entries through which keepers are reached that don't answer straight.
-    pub(super) helpers: Arc<HelperBook>,
+    pub(super) helpers: Arc<HelperTable>,
     /// Hash of this instance's name.
     pub(super) tag: InstanceTag,
     /// What keepers have told of the key-value service's revisions.
-    pub(super) news: Arc<NewsBoard>,
+    pub(super) news: Arc<LagMonitor>,
 }
 
 impl KeeperClient {
@@ -89,7 +89,7 @@
         placement: Arc<ArcSwap<KeeperPlacement>>,
         metrics: Arc<GatewayMetrics>,
         own: HelperAddress,
-        outcomes: Arc<OutcomeBoard>,
+        outcomes: Arc<OutcomeTracker>,
     ) -> Self {
         Self {
             links,
@@ -143,7 +143,7 @@
         });
         let ledger = ledger.await?;
         Ok(if ledger.holds(budget, turn, most) {
-            ReserveOutcome::Held(ledger)
+            ReserveOutcome::Reserved(ledger)
         } else {
             ReserveOutcome::OverBudget(ledger)
         })
@@ -165,7 +165,7 @@
         });
         tokio::time::timeout(STORE_PATIENCE, storing)
             .await
-            .unwrap_or(Err(FactFailure::TooFew))
+            .unwrap_or(Err(FactFailure::NoMajority))
     }
 
     /// Asks under the newest known placement, and again where a newer one is learnt meanwhile: keepers refuse what comes
@@ -209,7 +209,7 @@
                 return Ok(());
             }
         }
-        Err(FactFailure::TooFew)
+        Err(FactFailure::NoMajority)
     }
 
     fn is_outdated(&self, placement: &KeeperPlacement) -> bool {
@@ -217,7 +217,7 @@
     }
 
     /// Tells the program's keepers a fact that nobody waits for.
-    pub fn note(&self, program: &ProgramId, fact: &FactRecord) {
+    pub fn store_in_background(&self, program: &ProgramId, fact: &FactRecord) {
         let placement = self.placement.load_full();
         let Ok(group) = group_slots(&placement, program) else {
             return;
@@ -263,7 +263,7 @@
                     wanted = missing;
                 }
                 ChainAnswer::Absent if newer.is_empty() => return Ok(ChainLookup::Absent),
-                ChainAnswer::Absent | ChainAnswer::Unknown => return Err(FactFailure::TooFew),
+                ChainAnswer::Absent | ChainAnswer::Unknown => return Err(FactFailure::NoMajority),
             }
         }
     }
@@ -309,7 +309,7 @@
         if absent >= placement.meets_majorities_anywhere() && !self.is_outdated(placement) {
             return Ok(ChainAnswer::Absent);
         }
-        Err(FactFailure::TooFew)
+        Err(FactFailure::NoMajority)
     }
 
     /// Returns a program's keepers, if enough of them are known to be within reach.
@@ -320,7 +320,7 @@
     ) -> Result<Vec<KeeperSlot>, FactFailure> {
         let group = group_slots(placement, program)?;
         if self.health.reachable(&group, Instant::now()) < placement.majority() {
-            return Err(FactFailure::TooFew);
+            return Err(FactFailure::NoMajority);
         }
         Ok(group)
     }
@@ -356,7 +356,7 @@
             return Ok(ledger);
         }
     }
-    Err(FactFailure::TooFew)
+    Err(FactFailure::NoMajority)
 }
 
 fn group_slots(
--- a/crates/samphiregrade-gateway/src/fact/client/asking.rs
+++ b/crates/samphiregrade-gateway/src/fact/client/asking.rs
@@ -90,7 +90,7 @@
         KeeperEnvelope {
             generation: placement.generation,
             sender: self.tag,
-            outcomes: self.outcomes.untold(&slot.name),
+            outcomes: self.outcomes.take_unreported(&slot.name),
             request,
         }
     }
@@ -156,7 +156,7 @@
         timeout: Duration,
     ) -> AskedKeeper {
         let envelope = self.envelope(slot, placement, request);
-        match self.links.ask(slot.address, &envelope, timeout).await {
+        match self.links.request(slot.address, &envelope, timeout).await {
             Ok(answer) => {
                 self.health.note(&slot.name, Instant::now());
                 AskedKeeper::Answered(answer)
@@ -200,12 +200,12 @@
                 return None;
             }
             KeeperReply::Reserved { suspects, .. } | KeeperReply::Alive { suspects, .. } => {
-                self.outcomes.learn(suspects, Instant::now());
+                self.outcomes.merge_suspects(suspects, Instant::now());
             }
             KeeperReply::Accounts {
                 suspects, helper, ..
             } => {
-                self.outcomes.learn(suspects, Instant::now());
+                self.outcomes.merge_suspects(suspects, Instant::now());
                 if let Some(helper) = helper {
                     self.note_helper(helper.clone());
                 }
--- a/crates/samphiregrade-gateway/src/fact/disk.rs
+++ b/crates/samphiregrade-gateway/src/fact/disk.rs
@@ -18,7 +18,7 @@
 use thiserror::Error;
 use tokio::sync::oneshot;
 
-use super::book::{FactBook, FrameLocation};
+use super::book::{FactIndex, FrameLocation};
 use super::message::{FactRecord, TurnFact};
 use super::placement::KeeperPlacement;
 use super::reader::FactReader;
@@ -75,7 +75,7 @@
 #[derive(Default)]
 pub struct RecoveredFacts {
     /// All facts.
-    pub book: FactBook,
+    pub book: FactIndex,
     /// Facts read, repeated ones included.
     pub facts: usize,
     /// The state; `None` where the folder was empty.
--- a/crates/samphiregrade-gateway/src/fact/health.rs
+++ b/crates/samphiregrade-gateway/src/fact/health.rs
@@ -11,7 +11,7 @@
 use smol_str::SmolStr;
 
 use super::placement::{KeeperPlacement, KeeperSlot, PlacementGeneration};
-use crate::hold::hold;
+use crate::hold::lock_ignoring_poison;
 use crate::model::DomainId;
 
 /// Silence after which a keeper is asked whether it is there.
@@ -56,12 +56,12 @@
 impl KeeperHealth {
     /// Notes an answer.
     pub fn note(&self, name: &SmolStr, now: Instant) {
-        hold(&self.heard).insert(name.clone(), now);
+        lock_ignoring_poison(&self.heard).insert(name.clone(), now);
     }
 
     /// Notes when a helper heard a keeper.
     pub fn note_indirect(&self, name: &SmolStr, heard: Instant) {
-        let mut indirect = hold(&self.indirect);
+        let mut indirect = lock_ignoring_poison(&self.indirect);
         let last = indirect.entry(name.clone()).or_insert(heard);
         *last = heard.max(*last);
     }
@@ -109,7 +109,7 @@
         if self.is_straight(name, now) {
             return true;
         }
-        let told = hold(&self.indirect).get(name).copied();
+        let told = lock_ignoring_poison(&self.indirect).get(name).copied();
         told.is_some_and(|told| now.saturating_duration_since(told) < OUT_OF_REACH)
     }
 
@@ -124,7 +124,7 @@
     pub fn judge(&self, placement: &KeeperPlacement, now: Instant) -> bool {
         let reached = |slot: &KeeperSlot| self.is_within_reach(&slot.name, now);
         let cut_off = self.served_share(placement, reached) < LEAST_SHARE;
-        let mut since = hold(&self.cut_since);
+        let mut since = lock_ignoring_poison(&self.cut_since);
         if since.is_some() == cut_off {
             return false;
         }
@@ -136,7 +136,8 @@
     /// Returns how long the instance has been cut off, as it was judged last; zero while it isn't.
     #[must_use]
     pub fn cut_off_for(&self, now: Instant) -> Duration {
-        hold(&self.cut_since).map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
+        lock_ignoring_poison(&self.cut_since)
+            .map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 
     /// Returns the share of programs of which enough keepers are reached.
@@ -148,7 +149,7 @@
             return 1.0;
         }
         let within_reach: Vec<bool> = placement.slots.iter().map(reached).collect();
-        let mut samples = hold(&self.samples);
+        let mut samples = lock_ignoring_poison(&self.samples);
         samples.follow(placement);
         let mut served = 0_u32;
         for group in &samples.groups {
@@ -160,7 +161,7 @@
 
     /// Returns how long a keeper has been silent; the first look at it starts the clock.
     pub(super) fn silence(&self, name: &SmolStr, now: Instant) -> Duration {
-        let mut heard = hold(&self.heard);
+        let mut heard = lock_ignoring_poison(&self.heard);
         let last = heard.entry(name.clone()).or_insert(now);
         now.saturating_duration_since(*last)
     }
--- a/crates/samphiregrade-gateway/src/fact/helper.rs
+++ b/crates/samphiregrade-gateway/src/fact/helper.rs
@@ -16,7 +16,7 @@
 
 use super::client::KeeperClient;
 use super::message::{KeeperAnswer, KeeperEnvelope};
-use crate::hold::hold;
+use crate::hold::lock_ignoring_poison;
 use crate::model::DomainId;
 
 /// Helpers that are remembered.
@@ -118,14 +118,14 @@
 
 /// The helpers that an entry knows, and those that it uses.
 #[derive(Debug, Default)]
-pub struct HelperBook {
+pub struct HelperTable {
     state: Mutex<BookState>,
 }
 
-impl HelperBook {
+impl HelperTable {
     /// Notes an entry of which a keeper has told.
     pub fn note(&self, helper: HelperAddress) {
-        let mut state = hold(&self.state);
+        let mut state = lock_ignoring_poison(&self.state);
         state.known.retain(|known| known.name != helper.name);
         state.known.push(helper);
         if state.known.len() > KNOWN_HELPERS {
@@ -136,13 +136,13 @@
     /// Returns the helpers in use.
     #[must_use]
     pub fn used(&self) -> Vec<HelperAddress> {
-        hold(&self.state).used.clone()
+        lock_ignoring_poison(&self.state).used.clone()
     }
 
     /// Returns the helpers to ask next for whom they reach: those in use, and others until there are enough.
     #[must_use]
     pub fn next_to_ask(&self) -> Vec<HelperAddress> {
-        let mut state = hold(&self.state);
+        let mut state = lock_ignoring_poison(&self.state);
         let mut asked = state.used.clone();
         let count = state.known.len();
         for _ in 0..count {
@@ -160,7 +160,7 @@
 
     /// Notes whether a helper is of use; returns whether that has changed.
     pub fn set_used(&self, helper: &HelperAddress, useful: bool) -> bool {
-        let mut state = hold(&self.state);
+        let mut state = lock_ignoring_poison(&self.state);
         let was = state.used.contains(helper);
         if was == useful {
             return false;
@@ -175,7 +175,7 @@
 
     /// Stops using helpers; returns whether any was used.
     pub fn clear_used(&self) -> bool {
-        !std::mem::take(&mut hold(&self.state).used).is_empty()
+        !std::mem::take(&mut lock_ignoring_poison(&self.state).used).is_empty()
     }
 }
 
--- a/crates/samphiregrade-gateway/src/fact/indirect.rs
+++ b/crates/samphiregrade-gateway/src/fact/indirect.rs
@@ -38,7 +38,7 @@
     async fn ask_reach(&self, helper: &HelperAddress) {
         let asking = self
             .links
-            .ask(helper.address, &HelperRequest::Reach, REACH_TIMEOUT);
+            .request(helper.address, &HelperRequest::Reach, REACH_TIMEOUT);
         let reached = match asking.await {
             Ok(HelperReply::Reach(reached)) => reached,
             Ok(_) => Vec::new(),
@@ -75,7 +75,7 @@
                 envelope: Box::new(envelope.clone()),
                 wait,
             };
-            match self.links.ask(helper.address, &request, wait).await {
+            match self.links.request(helper.address, &request, wait).await {
                 Ok(HelperReply::Passed(answer)) => {
                     self.health.note_indirect(&slot.name, Instant::now());
                     return Some(answer);
@@ -126,7 +126,7 @@
         if !self.health.is_straight(&slot.name, Instant::now()) {
             return None;
         }
-        match self.links.ask(slot.address, envelope, wait).await {
+        match self.links.request(slot.address, envelope, wait).await {
             Ok(answer) => {
                 self.health.note(&slot.name, Instant::now());
                 Some(answer)
@@ -145,5 +145,5 @@
         used,
         reaches,
     };
-    Logbook::of_process().record("keepers-helper", &line);
+    Logbook::global().record("keepers-helper", &line);
 }
--- a/crates/samphiregrade-gateway/src/fact/message.rs
+++ b/crates/samphiregrade-gateway/src/fact/message.rs
@@ -8,12 +8,11 @@
 use super::helper::HelperAddress;
 use super::placement::{KeeperPlacement, PlacementGeneration};
 use crate::dialect::StoreRevision;
-use crate::limits::{AllowanceAsk, AllowanceGrant, InstanceTag, LedgerTime, LimitUse};
+use crate::limits::{AllowanceGrant, AllowanceRequest, InstanceTag, LedgerTime, LimitUse};
 use crate::model::{ProgramId, SessionId, TurnId, UpstreamId, UpstreamStart};
 use crate::store::{ConfigurationProof, StreamReply, StreamRequest};
 use crate::upstream::{
-    AccountQuestion, OutcomeDelta, ProgramProgress, RunEnd, RunStart, UpstreamAccount,
-    UpstreamSuspect,
+    AccountQuery, OutcomeDelta, ProgramProgress, RunEnd, RunStart, UpstreamAccount, UpstreamSuspect,
 };
 
 /// A turn whose answer is whole: never changed once written.
@@ -118,12 +117,12 @@
     pub fn progress(&self) -> ProgramProgress {
         let mut progress = ProgramProgress::default();
         for reservation in &self.reservations {
-            progress.first_left = progress.first_left.max(reservation.program_left);
+            progress.initial_time_left = progress.initial_time_left.max(reservation.program_left);
             if reservation.place.is_none() {
                 continue;
             }
-            progress.ended_turns += 1;
-            progress.made_tokens += u64::from(reservation.spent.unwrap_or(0));
+            progress.completed_turns += 1;
+            progress.generated_tokens += u64::from(reservation.spent.unwrap_or(0));
         }
         progress
     }
@@ -221,11 +220,11 @@
     /// Tells of a request that is over there.
     RunEnded(RunEnd),
     /// Asks how upstreams stand for which the keeper accounts.
-    Accounts(AccountQuestion),
+    Accounts(AccountQuery),
     /// Asks which configuration was the newest one, and when.
     Confirm,
     /// Asks for tokens of an organisation's limit.
-    Allowance(AllowanceAsk),
+    Allowance(AllowanceRequest),
     /// Asks what is new in the key-value service.
     Follow {
         /// What it knows.
--- a/crates/samphiregrade-gateway/src/fact/mod.rs
+++ b/crates/samphiregrade-gateway/src/fact/mod.rs
@@ -22,19 +22,19 @@
 mod service;
 mod stream;
 
-pub use book::{FactBook, FactPart, FrameLocation, KnownChain, TurnContent};
+pub use book::{FactIndex, FactPart, FrameLocation, KnownChain, TurnContent};
 pub use client::{ChainLookup, FactFailure, KeeperClient, ReserveOutcome};
 pub use disk::{DiskState, FactDisk, FactDiskError, RecoveredFacts};
 pub use health::KeeperHealth;
 pub use helper::{
-    FollowerTable, HelperAddress, HelperBook, HelperReply, HelperRequest, HelperService,
+    FollowerTable, HelperAddress, HelperReply, HelperRequest, HelperService, HelperTable,
     ReachedKeeper,
 };
 pub use message::{
     ChainAnswer, ExportRequest, FactRecord, KeeperAnswer, KeeperEnvelope, KeeperReply,
     KeeperRequest, ProgramLedger, Reservation, TurnFact, TurnPlace,
 };
-pub use news::NewsBoard;
+pub use news::LagMonitor;
 pub use placement::{KeeperPlacement, KeeperSlot, PlacementGeneration};
 pub use reader::FactReader;
 pub use rebuild::rebuild_from_others;
--- a/crates/samphiregrade-gateway/src/fact/placement.rs
+++ b/crates/samphiregrade-gateway/src/fact/placement.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-use crate::mix::mix;
+use crate::mix::hash_pair;
 use crate::model::{DomainId, UpstreamTag};
 
 /// Number of a placement; a higher one is newer.
@@ -40,19 +40,19 @@
 impl KeeperPlacement {
     /// Makes the first placement.
     #[must_use]
-    pub fn first(mut slots: Vec<KeeperSlot>, lost_at_once: usize) -> Self {
+    pub fn first(mut slots: Vec<KeeperSlot>, tolerated_losses: usize) -> Self {
         slots.sort_by(|left, right| left.name.cmp(&right.name));
         Self {
             generation: 1,
-            copies: Self::wanted_copies(lost_at_once).min(slots.len()),
+            copies: Self::wanted_copies(tolerated_losses).min(slots.len()),
             slots,
         }
     }
 
     /// Returns the copies with which a majority outlasts the given losses.
     #[must_use]
-    pub fn wanted_copies(lost_at_once: usize) -> usize {
-        2 * lost_at_once + 1
+    pub fn wanted_copies(tolerated_losses: usize) -> usize {
+        2 * tolerated_losses + 1
     }
 
     /// Returns how many copies make a write durable.
@@ -110,8 +110,8 @@
 
     /// Returns the slots that account for an upstream: two, in two failure domains where there are as many.
     #[must_use]
-    pub fn accountants(&self, upstream: UpstreamTag) -> Vec<usize> {
-        let rank = |&index: &usize| mix(upstream, index as u64);
+    pub fn account_slots(&self, upstream: UpstreamTag) -> Vec<usize> {
+        let rank = |&index: &usize| hash_pair(upstream, index as u64);
         let Some(first) = (0..self.slots.len()).min_by_key(rank) else {
             return Vec::new();
         };
@@ -130,7 +130,7 @@
 
     /// Returns the placement in which another instance, or the same at another address, has the slot.
     #[must_use]
-    pub fn with_occupant(&self, index: usize, name: &str, address: SocketAddr) -> Self {
+    pub fn with_slot_holder(&self, index: usize, name: &str, address: SocketAddr) -> Self {
         let mut next = self.clone();
         next.generation += 1;
         if let Some(slot) = next.slots.get_mut(index) {
--- a/crates/samphiregrade-gateway/src/fact/reach.rs
+++ b/crates/samphiregrade-gateway/src/fact/reach.rs
@@ -68,6 +68,6 @@
             within_reach: self.health.reachable(&placement.slots, now),
             keepers: placement.slots.len(),
         };
-        Logbook::of_process().record("keepers-reach", &line);
+        Logbook::global().record("keepers-reach", &line);
     }
 }
--- a/crates/samphiregrade-gateway/src/fact/rebuild.rs
+++ b/crates/samphiregrade-gateway/src/fact/rebuild.rs
@@ -48,7 +48,7 @@
             read.retain(|source| placement.slot_of(&source.name).is_some());
             let sources = unread(&placement, own, &read);
             for source in read_sources(service, links, own, sources).await {
-                Logbook::of_process().record("rebuild", &source);
+                Logbook::global().record("rebuild", &source);
                 if source.failure.is_empty() {
                     read.retain(|known| known.name != source.name);
                     read.push(source);
@@ -156,7 +156,7 @@
 ) -> Result<ReadPart, String> {
     let generation = request.placement.generation;
     let envelope = KeeperEnvelope::between_keepers(generation, KeeperRequest::Export(request));
-    let answer = links.ask(source.address, &envelope, PART_TIMEOUT).await;
+    let answer = links.request(source.address, &envelope, PART_TIMEOUT).await;
     let KeeperAnswer { reply, .. } = answer.map_err(|error| error.to_string())?;
     match reply {
         KeeperReply::Part { facts, complete } => {
--- a/crates/samphiregrade-gateway/src/fact/service.rs
+++ b/crates/samphiregrade-gateway/src/fact/service.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-use super::book::{FactBook, FactPart, TurnContent};
+use super::book::{FactIndex, FactPart, TurnContent};
 use super::disk::{DiskState, FactDisk, RecoveredFacts};
 use super::helper::FollowerTable;
 use super::message::{
@@ -18,7 +18,7 @@
 use crate::limits::{LedgerTime, LimitLedger, LimitRule};
 use crate::model::TurnId;
 use crate::observe::Logbook;
-use crate::store::{ProofBoard, StoreMirror};
+use crate::store::{ProofCache, StoreMirror};
 use crate::upstream::{OutcomeTable, RunTable, UpstreamSuspect};
 
 /// Bytes that segments may hold beyond twice the live ones before they are compacted.
@@ -48,7 +48,7 @@
 const GROUP_BYTES: usize = 256 << 10;
 
 struct KeeperState {
-    book: FactBook,
+    book: FactIndex,
     disk_state: DiskState,
     written_bytes: u64,
     /// Whether the disk has refused facts that are in memory: all are written again when it takes them.
@@ -95,7 +95,7 @@
     state: Arc<Mutex<KeeperState>>,
     disk: FactDisk,
     mirror: Arc<StoreMirror>,
-    proofs: Arc<ProofBoard>,
+    proofs: Arc<ProofCache>,
 }
 
 impl KeeperService {
@@ -144,7 +144,7 @@
 
     /// Returns what the keeper has proved of the configuration.
     #[must_use]
-    pub fn proofs(&self) -> &Arc<ProofBoard> {
+    pub fn proofs(&self) -> &Arc<ProofCache> {
         &self.proofs
     }
 
@@ -168,7 +168,7 @@
             state.outcomes.take(&envelope.outcomes, now);
             if envelope.sender != 0 {
                 let heard = state.limit_clock.now();
-                state.limits.hear(envelope.sender, heard);
+                state.limits.record_contact(envelope.sender, heard);
             }
         });
         if let KeeperRequest::Export(request) = &envelope.request {
@@ -413,7 +413,7 @@
             generation: placement.generation,
             slots: placement.slots.iter().map(|slot| &slot.name).collect(),
         };
-        Logbook::of_process().record("placement", &line);
+        Logbook::global().record("placement", &line);
         self.remember().await;
     }
 
@@ -427,7 +427,7 @@
                 live_bytes: state.book.live_bytes(),
             }
         });
-        Logbook::of_process().record("keeper-complete", &line);
+        Logbook::global().record("keeper-complete", &line);
         self.remember().await
     }
 
@@ -457,7 +457,7 @@
 
     /// Resolves once everything that was taken up to now stands on disk, as far as the disk takes it: notes are
     /// confirmed before they are written, and would end with the process.
-    pub async fn settle(&self) -> bool {
+    pub async fn flush(&self) -> bool {
         // The disk writes in order, so that the state comes after all that waits.
         self.remember().await
     }
@@ -487,7 +487,7 @@
             written_bytes: state.written_bytes,
             resident_bytes: resident_bytes(),
         });
-        Logbook::of_process().record("keeper-size", &line);
+        Logbook::global().record("keeper-size", &line);
         if !compacts {
             return;
         }
--- a/crates/samphiregrade-gateway/src/fact/stream.rs
+++ b/crates/samphiregrade-gateway/src/fact/stream.rs
@@ -4,9 +4,9 @@
 
 use super::client::KeeperClient;
 use super::message::{KeeperReply, KeeperRequest};
-use super::news::NewsBoard;
+use super::news::LagMonitor;
 use super::placement::KeeperSlot;
-use crate::mix::mix;
+use crate::mix::hash_pair;
 use crate::store::{StreamReply, StreamRequest};
 
 /// Time for the way to a keeper and back, beyond what it may hold a question.
@@ -25,7 +25,7 @@
             .collect();
         sources.sort_by_key(|(index, slot)| {
             let elsewhere = slot.domain != self.own.domain;
-            (elsewhere, mix(self.seed, *index as u64))
+            (elsewhere, hash_pair(self.seed, *index as u64))
         });
         sources.into_iter().map(|(_, slot)| slot.clone()).collect()
     }
@@ -47,7 +47,7 @@
 
     /// Returns what keepers have told of the key-value service's revisions.
     #[must_use]
-    pub fn news(&self) -> &NewsBoard {
+    pub fn lag(&self) -> &LagMonitor {
         &self.news
     }
 }
--- a/crates/samphiregrade-gateway/src/lib.rs
+++ b/crates/samphiregrade-gateway/src/lib.rs
@@ -21,7 +21,7 @@
 //!
 //! let cached = Candidate { slots: 8.0, load: 3.0, ..Candidate::default() };
 //! let idle = Candidate { slots: 8.0, uncached_tokens: 14_000, ..Candidate::default() };
-//! let work = WorkEstimate { hold_milliseconds: 200.0, reading_rate: 200.0, on_engine: true };
+//! let work = WorkEstimate { slot_milliseconds: 200.0, prefill_rate: 200.0, on_engine: true };
 //! assert_eq!(choose_upstream(&[idle, cached], &work, 0.5), Some(1));
 //! ```
 
--- a/crates/samphiregrade-gateway/src/limits/allowance.rs
+++ b/crates/samphiregrade-gateway/src/limits/allowance.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use super::message::{
-    AllowanceAsk, AllowanceGrant, EntryLife, InstanceTag, LimitRule, WindowLimit, WindowUse,
+    AllowanceGrant, AllowanceRequest, EntryIncarnation, InstanceTag, LimitRule, WindowLimit,
+    WindowUse,
 };
 use super::recent::RecentUse;
 use crate::access::BootTime;
@@ -28,11 +29,11 @@
     /// The instance.
     pub instance: InstanceTag,
     /// Its start.
-    pub life: EntryLife,
+    pub life: EntryIncarnation,
     /// How requests are counted.
     pub rule: LimitRule,
     /// Whether tokens are asked for in advance.
-    pub ahead: bool,
+    pub prefetch: bool,
 }
 
 /// What an entry holds of one organisation's limit.
@@ -80,7 +81,7 @@
     }
 
     /// Lets a request through though no home answers, as long as no more pass than did before; returns whether it may.
-    pub fn take_alone(&mut self, now: BootTime, rule: &LimitRule) -> bool {
+    pub fn take_standalone(&mut self, now: BootTime, rule: &LimitRule) -> bool {
         let window = rule.window;
         let passes = self.passes_alone(now, rule);
         let steady = self.steady.max(FIRST_USES);
@@ -98,7 +99,7 @@
     /// while that it has to keep a part for this entry.
     fn passes_alone(&self, now: BootTime, rule: &LimitRule) -> u32 {
         let silence = self.answered.map(|answered| now.since(answered));
-        let Some(silence) = silence.filter(|silence| *silence < rule.alone) else {
+        let Some(silence) = silence.filter(|silence| *silence < rule.standalone_period) else {
             return 0;
         };
         let windows = silence.as_secs_f64() / rule.window.as_secs_f64();
@@ -117,13 +118,13 @@
 
     /// Returns whether requests were let through of which no home knows yet.
     #[must_use]
-    pub fn owes_report(&self) -> bool {
+    pub fn has_unreported_uses(&self) -> bool {
         self.alone > 0
     }
 
     /// Returns whether tokens have lapsed of which no home knows that they were not used.
     #[must_use]
-    pub fn holds_lapsed(&self, now: BootTime) -> bool {
+    pub fn has_lapsed_tokens(&self, now: BootTime) -> bool {
         now >= self.lapses && self.granted > self.used
     }
 
@@ -138,7 +139,7 @@
     }
 
     /// Returns whether tokens are to be asked for before they are needed, and notes that they are.
-    pub fn begin_asking_ahead(&mut self, now: BootTime) -> bool {
+    pub fn begin_prefetch(&mut self, now: BootTime) -> bool {
         let begins = !self.near && !self.asking_ahead && self.at_hand(now) == 0;
         self.asking_ahead |= begins;
         begins
@@ -152,7 +153,7 @@
     }
 
     /// Notes that no tokens are being asked for in advance any more.
-    pub fn end_asking_ahead(&mut self) {
+    pub fn end_prefetch(&mut self) {
         self.asking_ahead = false;
     }
 
@@ -169,7 +170,7 @@
     }
 
     /// Notes that a home refuses.
-    pub fn note_refusal(&mut self, begins: bool, grant: &AllowanceGrant, now: BootTime) {
+    pub fn record_refusal(&mut self, begins: bool, grant: &AllowanceGrant, now: BootTime) {
         let until = now.after(grant.retry_after.min(LONGEST_REFUSAL));
         self.use_then = grant.use_now;
         if begins {
@@ -181,24 +182,24 @@
 
     /// Returns whether the organisation was near its limit when a home answered last.
     #[must_use]
-    pub fn is_near(&self) -> bool {
+    pub fn is_near_limit(&self) -> bool {
         self.near
     }
 
     /// Composes a question.
-    pub fn ask(
+    pub fn compose_request(
         &mut self,
         organisation: OrganisationTag,
         source: &EntrySource,
         limit: WindowLimit,
         begins: bool,
         now: BootTime,
-    ) -> AllowanceAsk {
+    ) -> AllowanceRequest {
         self.sequence += 1;
         let recent = self.recent.parts(now, source.rule.window);
         let rate: u32 = recent.iter().sum();
         let spare = (rate / SPARE_DIVISOR).clamp(1, MOST_SPARE);
-        AllowanceAsk {
+        AllowanceRequest {
             organisation,
             instance: source.instance,
             life: source.life,
@@ -208,7 +209,7 @@
             begun: self.begun,
             alone: self.all_alone,
             waiting: self.waiting,
-            spare: if source.ahead { spare } else { 0 },
+            spare: if source.prefetch { spare } else { 0 },
             begins,
             recent,
         }
--- a/crates/samphiregrade-gateway/src/limits/ledger.rs
+++ b/crates/samphiregrade-gateway/src/limits/ledger.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::message::{AllowanceAsk, AllowanceGrant, InstanceTag, LimitRule};
+use super::message::{AllowanceGrant, AllowanceRequest, InstanceTag, LimitRule};
 use super::organisation::{OrganisationLedger, SILENT_AFTER, rounded_up};
 use super::program_size::ProgramSize;
 use crate::model::OrganisationTag;
@@ -64,13 +64,13 @@
     }
 
     /// Notes that an instance is within reach.
-    pub fn hear(&mut self, instance: InstanceTag, now: LedgerTime) {
+    pub fn record_contact(&mut self, instance: InstanceTag, now: LedgerTime) {
         self.heard.insert(instance, now);
     }
 
     /// Answers an entry.
-    pub fn answer(&mut self, ask: &AllowanceAsk, now: LedgerTime) -> AllowanceGrant {
-        self.hear(ask.instance, now);
+    pub fn answer(&mut self, ask: &AllowanceRequest, now: LedgerTime) -> AllowanceGrant {
+        self.record_contact(ask.instance, now);
         let organisation = self.organisations.entry(ask.organisation).or_default();
         organisation.expire(now);
         if ask.limit.version >= organisation.limit.version {
@@ -89,7 +89,7 @@
         grant
     }
 
-    fn note_unsaved(&mut self, ask: &AllowanceAsk, leaves: LedgerTime, count: u32) {
+    fn note_unsaved(&mut self, ask: &AllowanceRequest, leaves: LedgerTime, count: u32) {
         if count == 0 {
             return;
         }
--- a/crates/samphiregrade-gateway/src/limits/message.rs
+++ b/crates/samphiregrade-gateway/src/limits/message.rs
@@ -11,7 +11,7 @@
 pub type InstanceTag = u64;
 
 /// Number of one start of an entry.
-pub type EntryLife = u64;
+pub type EntryIncarnation = u64;
 
 /// How limits are counted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -19,14 +19,14 @@
     /// Window in which requests are counted.
     pub window: Duration,
     /// How long an entry that no home answers goes on with what it used before.
-    pub alone: Duration,
+    pub standalone_period: Duration,
 }
 
 impl Default for LimitRule {
     fn default() -> Self {
         Self {
             window: Duration::from_secs(5),
-            alone: Duration::from_mins(1),
+            standalone_period: Duration::from_mins(1),
         }
     }
 }
@@ -54,13 +54,13 @@
 
 /// An entry's question for tokens.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct AllowanceAsk {
+pub struct AllowanceRequest {
     /// The organisation.
     pub organisation: OrganisationTag,
     /// The instance that asks.
     pub instance: InstanceTag,
     /// Its start.
-    pub life: EntryLife,
+    pub life: EntryIncarnation,
     /// Number of the question among those of this start; a lower one has been overtaken.
     pub sequence: u64,
     /// What the organisation may make, by the configuration that the entry knows.
--- a/crates/samphiregrade-gateway/src/limits/mod.rs
+++ b/crates/samphiregrade-gateway/src/limits/mod.rs
@@ -8,7 +8,7 @@
 //!   window from the grant on, so that a lost answer or a lost entry costs some of the limit but never exceeds it;
 //! * [`OrganisationAllowance`] is what an entry holds of one organisation: tokens that it was granted in advance, what
 //!   it has used of them, and what it may go on with where no home answers;
-//! * [`AllowanceAsk`] and [`AllowanceGrant`] carry totals and not differences: they may be lost, repeated or overtaken.
+//! * [`AllowanceRequest`] and [`AllowanceGrant`] carry totals and not differences: they may be lost, repeated or overtaken.
 
 mod allowance;
 mod ledger;
@@ -20,6 +20,7 @@
 pub use allowance::{EntrySource, OrganisationAllowance};
 pub use ledger::{LedgerTime, LimitLedger, LimitUse};
 pub use message::{
-    AllowanceAsk, AllowanceGrant, EntryLife, InstanceTag, LimitRule, WindowLimit, WindowUse,
+    AllowanceGrant, AllowanceRequest, EntryIncarnation, InstanceTag, LimitRule, WindowLimit,
+    WindowUse,
 };
 pub use recent::{RECENT_PARTS, RecentUse};
--- a/crates/samphiregrade-gateway/src/limits/organisation.rs
+++ b/crates/samphiregrade-gateway/src/limits/organisation.rs
@@ -5,7 +5,8 @@
 
 use super::ledger::LedgerTime;
 use super::message::{
-    AllowanceAsk, AllowanceGrant, EntryLife, InstanceTag, LimitRule, WindowLimit, WindowUse,
+    AllowanceGrant, AllowanceRequest, EntryIncarnation, InstanceTag, LimitRule, WindowLimit,
+    WindowUse,
 };
 use super::recent::RECENT_PARTS;
 
@@ -73,7 +74,7 @@
         };
         let silent = now.saturating_sub(*heard) >= SILENT_AFTER;
         // What it lets through last counts for a window more.
-        silent && now < self.asked + rule.alone + rule.window
+        silent && now < self.asked + rule.standalone_period + rule.window
     }
 
     fn outstanding(&self) -> i64 {
@@ -94,7 +95,7 @@
     pub(super) outstanding: i64,
     /// What is kept for all entries together.
     pub(super) kept: u32,
-    pub(super) accounts: HashMap<EntryLife, EntryAccount>,
+    pub(super) accounts: HashMap<EntryIncarnation, EntryAccount>,
     /// Until when what entries used before they asked may be known from the disk.
     pub(super) restored_until: Option<LedgerTime>,
 }
@@ -118,7 +119,7 @@
     }
 
     /// Counts tokens of an entry until they leave the window.
-    pub(super) fn charge(&mut self, life: EntryLife, leaves: LedgerTime, count: u32) {
+    pub(super) fn charge(&mut self, life: EntryIncarnation, leaves: LedgerTime, count: u32) {
         if count == 0 {
             return;
         }
@@ -129,7 +130,7 @@
     }
 
     /// Counts tokens of an entry no longer, the newest first.
-    fn release(&mut self, life: EntryLife, mut count: i64) {
+    fn release(&mut self, life: EntryIncarnation, mut count: i64) {
         let Some(account) = self.accounts.get_mut(&life) else {
             return;
         };
@@ -156,7 +157,7 @@
     /// Counts the programs that have begun with an entry's tokens, or begin with what it was granted.
     pub(super) fn take_begun(
         &mut self,
-        ask: &AllowanceAsk,
+        ask: &AllowanceRequest,
         grant: &AllowanceGrant,
         leaves: LedgerTime,
     ) -> u32 {
@@ -174,7 +175,12 @@
     }
 
     /// Takes what an entry has used, and takes back what it can't use any more.
-    pub(super) fn take_report(&mut self, ask: &AllowanceAsk, now: LedgerTime, window: Duration) {
+    pub(super) fn take_report(
+        &mut self,
+        ask: &AllowanceRequest,
+        now: LedgerTime,
+        window: Duration,
+    ) {
         let fresh = !self.accounts.contains_key(&ask.life);
         if fresh {
             self.accounts.insert(
@@ -223,7 +229,7 @@
     }
 
     /// Counts what an entry had used before this home heard of it.
-    fn charge_recent(&mut self, ask: &AllowanceAsk, now: LedgerTime, window: Duration) {
+    fn charge_recent(&mut self, ask: &AllowanceRequest, now: LedgerTime, window: Duration) {
         let part = window / u32::try_from(RECENT_PARTS).unwrap_or(1);
         let restored = self.restored_until.is_some_and(|until| now < until);
         let unknown = if restored {
@@ -239,7 +245,7 @@
     }
 
     /// Returns the tokens that the entry has used or is about to use beyond those that were told for the disk.
-    pub(super) fn take_unsaved(&mut self, ask: &AllowanceAsk, grant: &AllowanceGrant) -> u32 {
+    pub(super) fn take_unsaved(&mut self, ask: &AllowanceRequest, grant: &AllowanceGrant) -> u32 {
         let Some(account) = self.accounts.get_mut(&ask.life) else {
             return 0;
         };
@@ -269,7 +275,7 @@
 
     pub(super) fn grant(
         &mut self,
-        ask: &AllowanceAsk,
+        ask: &AllowanceRequest,
         reserved: i64,
         fitting: Option<u32>,
         now: LedgerTime,
@@ -335,7 +341,7 @@
 
     /// Keeps a part of the limit for an entry that may fall silent; all parts together are no more than the limit. Returns
     /// the part.
-    fn keep_part(&mut self, life: EntryLife) -> u32 {
+    fn keep_part(&mut self, life: EntryIncarnation) -> u32 {
         let Some(account) = self.accounts.get_mut(&life) else {
             return 0;
         };
@@ -368,8 +374,8 @@
         let (mut forgotten, mut unkept) = (0, 0);
         self.accounts.retain(|_, account| {
             account.charges.retain(|(leaves, _)| *leaves > now);
-            let kept =
-                !account.charges.is_empty() || now < account.asked + rule.alone + rule.window;
+            let kept = !account.charges.is_empty()
+                || now < account.asked + rule.standalone_period + rule.window;
             if !kept {
                 forgotten += account.outstanding();
                 unkept += account.kept;
--- a/crates/samphiregrade-gateway/src/link.rs
+++ b/crates/samphiregrade-gateway/src/link.rs
@@ -132,7 +132,7 @@
     /// # Errors
     ///
     /// [`LinkFailure`] where there is no readable reply in time; the request may have arrived.
-    pub async fn ask<Request, Reply>(
+    pub async fn request<Request, Reply>(
         &self,
         address: SocketAddr,
         request: &Request,
@@ -155,7 +155,7 @@
     /// # Errors
     ///
     /// [`LinkFailure`] where it can't be sent; nobody knows whether it arrives otherwise.
-    pub fn tell<Request>(&self, address: SocketAddr, request: &Request) -> Result<(), LinkFailure>
+    pub fn notify<Request>(&self, address: SocketAddr, request: &Request) -> Result<(), LinkFailure>
     where
         Request: Serialize,
     {
--- a/crates/samphiregrade-gateway/src/model/metadata.rs
+++ b/crates/samphiregrade-gateway/src/model/metadata.rs
@@ -59,7 +59,7 @@
 
 /// What an answer's head says beside its status.
 #[derive(Clone, Debug, Default)]
-pub struct AnswerMetadata {
+pub struct ResponseMetadata {
     /// Id of the request that it answers.
     pub request: Option<RequestId>,
     /// Whether the upstream says that it did not run the request.
@@ -72,7 +72,7 @@
 
 /// What the system adds to a request on its way to an upstream.
 #[derive(Clone, Debug)]
-pub struct DispatchOrders {
+pub struct DispatchHeaders {
     /// Time that is left for the request.
     pub time_left: Duration,
     /// The upstream that is meant; another one at its address refuses.
--- a/crates/samphiregrade-gateway/src/model/mod.rs
+++ b/crates/samphiregrade-gateway/src/model/mod.rs
@@ -11,12 +11,12 @@
     ClientLimits, EngineRecord, RequestKind, RouteAccess, RouteRecord, RoutingConfig,
     ServiceRecord, ServiceShare,
 };
-pub use metadata::{AnswerMetadata, DispatchOrders, PromptPart, RequestMetadata, TokenUsage};
+pub use metadata::{DispatchHeaders, PromptPart, RequestMetadata, ResponseMetadata, TokenUsage};
 pub use organisation::{
     CallerCredential, CallerKey, OrganisationName, OrganisationRecord, OrganisationTag,
     RequestLimit,
 };
-pub use upstream::{ReportedLoad, UpstreamEntry, UpstreamStart, UpstreamState};
+pub use upstream::{ReportedLoad, UpstreamRecord, UpstreamStart, UpstreamState};
 
 /// Returns the hash of a name, the same on every instance.
 #[must_use]
--- a/crates/samphiregrade-gateway/src/model/upstream.rs
+++ b/crates/samphiregrade-gateway/src/model/upstream.rs
@@ -19,7 +19,7 @@
 
 /// An upstream's entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct UpstreamEntry {
+pub struct UpstreamRecord {
     /// Id of the upstream; it may keep it when it starts again.
     pub id: UpstreamId,
     /// When it started; `None` where it doesn't say.
@@ -38,7 +38,7 @@
     pub cold: Duration,
 }
 
-impl UpstreamEntry {
+impl UpstreamRecord {
     /// Returns whether another entry with the same id describes the same start of the same upstream.
     ///
     /// One that started again knows nothing of before, and one with another address or service is another upstream.
--- a/crates/samphiregrade-gateway/src/observe/logbook.rs
+++ b/crates/samphiregrade-gateway/src/observe/logbook.rs
@@ -68,7 +68,7 @@
 
 impl Logbook {
     /// Returns the process's logbook; its thread starts with the first line.
-    pub fn of_process() -> &'static Self {
+    pub fn global() -> &'static Self {
         static LOGBOOK: OnceLock<Logbook> = OnceLock::new();
         LOGBOOK.get_or_init(Self::start)
     }
@@ -216,11 +216,11 @@
             source: record.target(),
             message: record.args().to_string(),
         };
-        Logbook::of_process().record("message", &line);
+        Logbook::global().record("message", &line);
     }
 
     fn flush(&self) {
-        Logbook::of_process().flush();
+        Logbook::global().flush();
     }
 }
 
@@ -247,7 +247,7 @@
                 .unwrap_or_default(),
             message: panicked.payload_as_str().unwrap_or_default(),
         };
-        let logbook = Logbook::of_process();
+        let logbook = Logbook::global();
         logbook.record("panic", &line);
         // The process may end with it.
         logbook.flush();
--- a/crates/samphiregrade-gateway/src/observe/metrics.rs
+++ b/crates/samphiregrade-gateway/src/observe/metrics.rs
@@ -14,7 +14,7 @@
 
 /// What is counted of one request.
 #[derive(Clone, Copy, Debug)]
-pub struct RequestCount {
+pub struct RequestSample {
     /// Kind of route, or `none`.
     pub kind: &'static str,
     /// How it ended.
@@ -85,7 +85,7 @@
     }
 
     /// Counts a request that has ended.
-    pub fn count_request(&self, count: &RequestCount) {
+    pub fn record_request(&self, count: &RequestSample) {
         let labels = [
             KeyValue::new("kind", count.kind),
             KeyValue::new("outcome", count.outcome),
--- a/crates/samphiregrade-gateway/src/observe/mod.rs
+++ b/crates/samphiregrade-gateway/src/observe/mod.rs
@@ -4,4 +4,4 @@
 mod metrics;
 
 pub use logbook::{Logbook, install_logger};
-pub use metrics::{GatewayMetrics, RequestCount};
+pub use metrics::{GatewayMetrics, RequestSample};
--- a/crates/samphiregrade-gateway/src/role/beliefs.rs
+++ b/crates/samphiregrade-gateway/src/role/beliefs.rs
@@ -19,7 +19,7 @@
 use crate::exchange::EntryContext;
 use crate::fact::{HelperAddress, HelperRequest, HelperService, KeeperClient, KeeperPlacement};
 use crate::link::LinkEndpoint;
-use crate::model::{UpstreamEntry, UpstreamId};
+use crate::model::{UpstreamId, UpstreamRecord};
 use crate::observe::Logbook;
 use crate::routing::RouteTable;
 use crate::settings::GatewaySettings;
@@ -63,8 +63,8 @@
     tokio::spawn(seek_proofs(context.clone(), ended.clone()));
     tokio::spawn(follow_keepers(
         context.clone(),
-        store.separate(),
-        settings.follow_pace(),
+        store.with_own_connection(),
+        settings.follow_timing(),
         sender,
         ended.clone(),
     ));
@@ -94,7 +94,7 @@
                 context.freshness.prove(moment);
                 continue;
             }
-            FollowEvent::Lost | FollowEvent::Regained(_) => continue,
+            FollowEvent::Disconnected | FollowEvent::Reconnected(_) => continue,
         };
         for item in page.items {
             if item.key != context.dialect.configuration_key() {
@@ -146,7 +146,7 @@
         keys: table.keys().map(KeyTable::key_count),
     };
     context.routes.store(Some(Arc::new(table)));
-    Logbook::of_process().record("configuration", &line);
+    Logbook::global().record("configuration", &line);
     true
 }
 
@@ -156,7 +156,7 @@
     mut events: mpsc::Receiver<FollowEvent>,
 ) {
     loop {
-        let due = registry.settle(Instant::now());
+        let due = registry.drop_departed(Instant::now());
         let event = match due {
             None => events.recv().await,
             Some(due) => match tokio::time::timeout_at(due.into(), events.recv()).await {
@@ -169,8 +169,8 @@
         };
         let now = Instant::now();
         match event {
-            FollowEvent::Lost | FollowEvent::Confirmed(_) => {}
-            FollowEvent::Regained(_) => registry.unsettle(now),
+            FollowEvent::Disconnected | FollowEvent::Confirmed(_) => {}
+            FollowEvent::Reconnected(_) => registry.record_store_outage(now),
             FollowEvent::All(page) => {
                 let mut entries = Vec::with_capacity(page.items.len());
                 for change in changes(&context, &page) {
@@ -192,7 +192,7 @@
 
 /// What an item under the upstreams' prefix says.
 enum UpstreamChange {
-    Entry(UpstreamEntry),
+    Entry(UpstreamRecord),
     Gone(UpstreamId),
     /// The entry can't be read.
     Bad(UpstreamId),
@@ -212,7 +212,7 @@
 }
 
 fn decode(context: &EntryContext, item: &StoreItem) -> Option<UpstreamChange> {
-    let id = context.dialect.upstream_of(&item.key)?;
+    let id = context.dialect.upstream_id(&item.key)?;
     let reason = match &item.value {
         StoreValue::Removed => return Some(UpstreamChange::Gone(id)),
         StoreValue::Unreadable(reason) => reason.clone(),
@@ -226,7 +226,7 @@
         revision: item.revision,
         reason: &reason,
     };
-    Logbook::of_process().record("upstream-entry-bad", &line);
+    Logbook::global().record("upstream-entry-bad", &line);
     Some(UpstreamChange::Bad(id))
 }
 
@@ -257,7 +257,7 @@
                 PLACEMENT_KEY => match serde_json::from_slice::<KeeperPlacement>(value) {
                     Ok(newer) => {
                         if newer.generation > placement.load().generation {
-                            Logbook::of_process().record("placement", &newer);
+                            Logbook::global().record("placement", &newer);
                             placement.store(Arc::new(newer));
                         }
                     }
--- a/crates/samphiregrade-gateway/src/role/departure.rs
+++ b/crates/samphiregrade-gateway/src/role/departure.rs
@@ -4,8 +4,8 @@
 //! does, so there has to be a moment from which on nothing is taken: an entry that goes on until it happens to be without
 //! connections never is while clients keep coming, and breaks off at the kill what it took last.
 //!
-//! What tells the phases to others: [`EntryContext::is_stopping`] from the signal on; of [`ServingTokens`], `closing` while
-//! finishing and `giving_up` at the last moment; the token that `run_entry` calls `ended` after the last phase.
+//! What tells the phases to others: [`EntryContext::is_stopping`] from the signal on; of [`ShutdownTokens`], `drain` while
+//! finishing and `abort` at the last moment; the token that `run_entry` calls `ended` after the last phase.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
 use serde::Serialize;
 use tokio::task::JoinHandle;
 
-use crate::exchange::{EntryContext, ServingTokens};
+use crate::exchange::{EntryContext, ShutdownTokens};
 use crate::observe::Logbook;
 
 /// Time after the signal to stop within which the platform has stopped sending new connections, where others are
@@ -54,7 +54,7 @@
 /// An entry that was told to stop.
 pub struct EntryDeparture<Phase> {
     context: Arc<EntryContext>,
-    tokens: ServingTokens,
+    tokens: ShutdownTokens,
     since: Instant,
     grace: Duration,
     phase: Phase,
@@ -65,11 +65,11 @@
     #[must_use]
     pub fn begin(
         context: Arc<EntryContext>,
-        tokens: ServingTokens,
+        tokens: ShutdownTokens,
         grace: Duration,
         accepting: JoinHandle<()>,
     ) -> Self {
-        context.set_stopping(grace.saturating_sub(LAST_MOMENT));
+        context.begin_stopping(grace.saturating_sub(LAST_MOMENT));
         let departure = Self {
             context,
             tokens,
@@ -86,7 +86,7 @@
         let rotation = LEAVE_ROTATION.min(self.last_moment() / 2);
         tokio::time::sleep(rotation.saturating_sub(QUIET_TIME)).await;
         self.stay_while_needed(rotation).await;
-        self.tokens.closing.cancel();
+        self.tokens.drain.cancel();
         let Self {
             context,
             tokens,
@@ -155,7 +155,7 @@
 impl EntryDeparture<GivingUp> {
     /// Gives up what is left, and waits until its clients have been told.
     pub async fn end(self) {
-        self.tokens.giving_up.cancel();
+        self.tokens.abort.cancel();
         self.wait_until(self.last_moment() + LAST_ANSWERS).await;
         // What the last requests told keepers is on its way.
         tokio::time::sleep(STOP_PAUSE).await;
@@ -182,6 +182,6 @@
             open_requests: self.context.open_requests(),
             seconds: self.since.elapsed().as_secs_f64(),
         };
-        Logbook::of_process().record(event, &line);
+        Logbook::global().record(event, &line);
     }
 }
--- a/crates/samphiregrade-gateway/src/role/domain_watch.rs
+++ b/crates/samphiregrade-gateway/src/role/domain_watch.rs
@@ -66,10 +66,10 @@
         .map(|keepers| keepers.silent_domains())
         .unwrap_or_default();
     for upstream in context.directory.load().all() {
-        let domain = &upstream.entry.domain;
-        if upstream.was_domain_heard_within(HEARD_LATELY, now) {
+        let domain = &upstream.record.domain;
+        if upstream.domain_responded_within(HEARD_LATELY, now) {
             domains.retain(|other| other != domain);
-        } else if upstream.is_domain_lost(now) && !domains.contains(domain) {
+        } else if upstream.is_domain_unreachable(now) && !domains.contains(domain) {
             domains.push(domain.clone());
         }
     }
@@ -81,20 +81,20 @@
     let directory = context.directory.load_full();
     let there = directory
         .all()
-        .filter(|upstream| upstream.entry.domain == domain && upstream.takes_requests());
+        .filter(|upstream| upstream.record.domain == domain && upstream.takes_requests());
     let tried: Vec<Arc<Upstream>> = there
         .cloned()
         .choose_multiple(&mut rand::rng(), TRIED_UPSTREAMS);
     let Some(first) = tried.first() else {
         return;
     };
-    let was_lost = first.is_domain_lost(Instant::now());
+    let was_lost = first.is_domain_unreachable(Instant::now());
     let probes = tried.iter().map(|upstream| upstream.probe_path());
     let answers = futures_util::future::join_all(probes).await;
     let lost = answers.iter().all(|answer| *answer == PathProbe::Silent);
     let now = Instant::now();
     if lost {
-        first.lose_domain(now);
+        first.mark_domain_unreachable(now);
     }
     if lost != was_lost {
         let line = DomainLine {
@@ -102,6 +102,6 @@
             lost,
             upstreams: tried.len(),
         };
-        Logbook::of_process().record("domain-reach", &line);
+        Logbook::global().record("domain-reach", &line);
     }
 }
--- a/crates/samphiregrade-gateway/src/role/entry.rs
+++ b/crates/samphiregrade-gateway/src/role/entry.rs
@@ -18,7 +18,7 @@
 use super::signals::follow_signals;
 use crate::access::BootTime;
 use crate::dialect::Dialect;
-use crate::exchange::{EntryContext, ServingTokens, TurnCache, serve_clients};
+use crate::exchange::{EntryContext, ShutdownTokens, TurnCache, serve_clients};
 use crate::fact::KeeperPlacement;
 use crate::model::UpstreamTag;
 use crate::observe::{GatewayMetrics, Logbook};
@@ -115,8 +115,8 @@
         domain: &settings.instance.failure_domain,
         version: env!("CARGO_PKG_VERSION"),
     };
-    Logbook::of_process().record("start", &line);
-    let tokens = ServingTokens::default();
+    Logbook::global().record("start", &line);
+    let tokens = ShutdownTokens::default();
     let accepting = tokio::spawn(serve_clients(context.clone(), clients, tokens.clone()));
     tokio::spawn(sweep_connections(context.clone(), ended.clone()));
     tokio::spawn(watch_domains(context.clone(), ended.clone()));
@@ -175,7 +175,7 @@
             proof_age_ms: proof_age.map(|age| age.as_millis()),
             cut_off_ms: context.cut_off_for().as_millis(),
         };
-        Logbook::of_process().record("readiness", &line);
+        Logbook::global().record("readiness", &line);
     }
     ready
 }
@@ -207,12 +207,12 @@
     let now = Instant::now();
     let directory = context.directory.load();
     let upstreams = directory.all().map(|upstream| UpstreamDump {
-        id: upstream.entry.id.to_string(),
+        id: upstream.record.id.to_string(),
         upstream_tag: format!("{:016x}", upstream.start_tag),
-        service: upstream.entry.service.to_string(),
+        service: upstream.record.service.to_string(),
         load: upstream.load(now),
         takes_requests: upstream.takes_requests(),
-        trusted: upstream.is_trusted(now),
+        trusted: upstream.is_breaker_closed(now),
     });
     EntryDump {
         instance: name,
--- a/crates/samphiregrade-gateway/src/role/keeper.rs
+++ b/crates/samphiregrade-gateway/src/role/keeper.rs
@@ -15,7 +15,7 @@
 use super::member::KeeperMember;
 use super::probe_server::{ProbeAnswer, serve_probes};
 use super::signals::follow_signals;
-use crate::dialect::{Dialect, StoreChange};
+use crate::dialect::{Dialect, StoreWrite};
 use crate::fact::{FactDisk, KeeperEnvelope, KeeperService};
 use crate::link::LinkEndpoint;
 use crate::observe::{GatewayMetrics, Logbook};
@@ -80,7 +80,7 @@
         damaged_segments,
         complete: service.is_complete(),
     };
-    Logbook::of_process().record("start", &line);
+    Logbook::global().record("start", &line);
     serve_metrics(&settings, &metrics, &stop)?;
     let store = StoreClient::new(settings.store.address, dialect.clone(), metrics);
     let answering = TaskTracker::new();
@@ -129,15 +129,15 @@
 /// already, and where another keeper is not quite back these are broken off.
 async fn leave(service: &KeeperService, answering: &TaskTracker) {
     let since = Instant::now();
-    service.mirror().leave();
+    service.mirror().release_waiters();
     answering.close();
     answering.wait().await;
-    let settling = tokio::time::timeout(SETTLE_LIMIT, service.settle());
+    let settling = tokio::time::timeout(SETTLE_LIMIT, service.flush());
     let line = StopLine {
         settled: settling.await.unwrap_or(false),
         seconds: since.elapsed().as_secs_f64(),
     };
-    Logbook::of_process().record("stop", &line);
+    Logbook::global().record("stop", &line);
 }
 
 fn serve_metrics(
@@ -177,12 +177,12 @@
                 return Ok(authority);
             }
             Ok(None) => {
-                let change = StoreChange {
+                let change = StoreWrite {
                     key: AUTHORITY_KEY.into(),
-                    expected: Some(0),
+                    expected_revision: Some(0),
                     value: serde_json::to_vec(&fresh)?,
                 };
-                if let Err(error) = store.change(&change).await {
+                if let Err(error) = store.write(&change).await {
                     log::info!("authority not written: {error}");
                 }
             }
--- a/crates/samphiregrade-gateway/src/role/member.rs
+++ b/crates/samphiregrade-gateway/src/role/member.rs
@@ -10,8 +10,8 @@
 use tokio_util::sync::CancellationToken;
 
 use super::authority::{KEEPER_PREFIX, PLACEMENT_KEY, REGISTRATION_PREFIX};
-use super::membership::{MemberView, MembershipStep, next_step};
-use crate::dialect::{Dialect, StoreChange, StoreItem, StoreRevision, StoreValue};
+use super::membership::{MembershipStep, MembershipView, next_step};
+use crate::dialect::{Dialect, StoreItem, StoreRevision, StoreValue, StoreWrite};
 use crate::fact::{
     KeeperAnswer, KeeperEnvelope, KeeperPlacement, KeeperReply, KeeperRequest, KeeperService,
     KeeperSlot, rebuild_from_others,
@@ -20,8 +20,8 @@
 use crate::observe::Logbook;
 use crate::settings::GatewaySettings;
 use crate::store::{
-    ALL_KEYS, ConfigurationProver, EVENT_QUEUE, EventRouter, FollowEvent, FollowPace, StoreClient,
-    StoreMirror, follow_prefix,
+    ALL_KEYS, ConfigurationProver, EVENT_QUEUE, EventRouter, FollowEvent, FollowTiming,
+    StoreClient, StoreMirror, follow_prefix,
 };
 
 /// Time between two looks at the membership; probes of other keepers go out as often.
@@ -139,9 +139,9 @@
     fn follow_service(&self, stop: &CancellationToken) -> EventRouter {
         let (sender, events) = mpsc::channel(EVENT_QUEUE);
         let outdated = Arc::new(Notify::new());
-        let pace = FollowPace::new(self.settings.times.gather(), None);
+        let pace = FollowTiming::new(self.settings.times.batch_delay(), None);
         tokio::spawn(follow_prefix(
-            self.store.separate(),
+            self.store.with_own_connection(),
             ALL_KEYS,
             pace,
             sender,
@@ -149,10 +149,10 @@
             stop.clone(),
         ));
         let prover = ConfigurationProver {
-            store: self.store.separate(),
+            store: self.store.with_own_connection(),
             key: self.dialect.configuration_key(),
-            interval: self.settings.organisations.freshness().read_interval(),
-            board: self.service.proofs().clone(),
+            interval: self.settings.organisations.freshness_rule().read_interval(),
+            cache: self.service.proofs().clone(),
             mirror: self.service.mirror().clone(),
             outdated,
         };
@@ -207,7 +207,7 @@
             self.retiring.clear();
         }
         for item in page.items {
-            let Some(name) = self.dialect.retirement_of(&item.key) else {
+            let Some(name) = self.dialect.retiring_instance(&item.key) else {
                 continue;
             };
             self.retiring.retain(|other| *other != name);
@@ -229,7 +229,8 @@
             let envelope =
                 KeeperEnvelope::between_keepers(placement.generation, KeeperRequest::Probe);
             tokio::spawn(async move {
-                let reply = links.ask::<_, KeeperAnswer>(slot.address, &envelope, PROBE_TIMEOUT);
+                let reply =
+                    links.request::<_, KeeperAnswer>(slot.address, &envelope, PROBE_TIMEOUT);
                 if reply.await.is_ok() {
                     // The member may have stopped.
                     let _ = answers.send(slot.name).await;
@@ -259,12 +260,12 @@
         let mut registered: Vec<KeeperSlot> = self.registered.values().cloned().collect();
         registered.sort_by(|left, right| left.name.cmp(&right.name));
         let tolerance = self.settings.tolerance;
-        let view = MemberView {
+        let view = MembershipView {
             own: &self.own,
             placement: exists.then_some(&placement),
             registered: &registered,
             unchanged: self.registered_since.elapsed(),
-            lost_at_once: tolerance.instances.max(1),
+            tolerated_losses: tolerance.instances.max(1),
             silence: &silence,
             retiring: &self.retiring,
         };
@@ -300,12 +301,12 @@
         };
         let name = &self.own.name;
         let known = self.registration_revisions.get(name).copied().unwrap_or(0);
-        let change = StoreChange {
+        let change = StoreWrite {
             key: format!("{REGISTRATION_PREFIX}{name}").into(),
-            expected: Some(known),
+            expected_revision: Some(known),
             value,
         };
-        if let Err(error) = self.store.change(&change).await {
+        if let Err(error) = self.store.write(&change).await {
             log::info!("not registered yet: {error}");
         }
     }
@@ -314,18 +315,18 @@
         let Ok(value) = serde_json::to_vec(&next) else {
             return;
         };
-        let change = StoreChange {
+        let change = StoreWrite {
             key: PLACEMENT_KEY.into(),
-            expected: Some(self.placement_revision),
+            expected_revision: Some(self.placement_revision),
             value,
         };
-        let result = self.store.change(&change).await;
+        let result = self.store.write(&change).await;
         let line = ProposalLine {
             generation: next.generation,
             slots: next.slots.iter().map(|slot| &slot.name).collect(),
             outcome: result.map_or_else(|error| error.to_string(), |()| "accepted".to_owned()),
         };
-        Logbook::of_process().record("placement-proposed", &line);
+        Logbook::global().record("placement-proposed", &line);
     }
 
     /// Tells the operators how far the own retirement is: complete once all slots are, without this keeper.
@@ -344,14 +345,14 @@
             return;
         }
         let change = self.dialect.retirement_status(&self.own.name, completed);
-        match self.store.change(&change).await {
+        match self.store.write(&change).await {
             Ok(()) => {
                 self.reported = Some(completed);
                 let line = RetirementLine {
                     instance: &self.own.name,
                     completed,
                 };
-                Logbook::of_process().record("retirement", &line);
+                Logbook::global().record("retirement", &line);
             }
             Err(error) => log::info!("retirement not reported: {error}"),
         }
@@ -361,7 +362,7 @@
         for slot in &placement.slots {
             let envelope =
                 KeeperEnvelope::between_keepers(placement.generation, KeeperRequest::Probe);
-            let asking = self.links.ask(slot.address, &envelope, PROBE_TIMEOUT);
+            let asking = self.links.request(slot.address, &envelope, PROBE_TIMEOUT);
             let reply = asking.await.map(|answer: KeeperAnswer| answer.reply);
             if !matches!(reply, Ok(KeeperReply::Alive { complete: true, .. })) {
                 return false;
--- a/crates/samphiregrade-gateway/src/role/membership.rs
+++ b/crates/samphiregrade-gateway/src/role/membership.rs
@@ -20,7 +20,7 @@
 
 /// What a keeper knows when it decides.
 #[derive(Clone, Debug)]
-pub struct MemberView<'view> {
+pub struct MembershipView<'view> {
     /// Its own slot as it would be.
     pub own: &'view KeeperSlot,
     /// The placement; `None` where there is none in the key-value service.
@@ -30,7 +30,7 @@
     /// How long the registrations have been unchanged.
     pub unchanged: Duration,
     /// Losses that have to be borne at once.
-    pub lost_at_once: usize,
+    pub tolerated_losses: usize,
     /// Silence of each slot's keeper, in the slots' order; zero for the own one.
     pub silence: &'view [Duration],
     /// Keepers that operators want to be emptied.
@@ -50,7 +50,7 @@
 
 /// Decides the next step.
 #[must_use]
-pub fn next_step(view: &MemberView<'_>) -> MembershipStep {
+pub fn next_step(view: &MembershipView<'_>) -> MembershipStep {
     if !view.registered.contains(view.own) {
         return MembershipStep::Register;
     }
@@ -78,11 +78,11 @@
     name: &str,
     address: SocketAddr,
 ) -> MembershipStep {
-    MembershipStep::Propose(placement.with_occupant(index, name, address))
+    MembershipStep::Propose(placement.with_slot_holder(index, name, address))
 }
 
-fn first_placement(view: &MemberView<'_>) -> MembershipStep {
-    let enough = view.registered.len() >= KeeperPlacement::wanted_copies(view.lost_at_once);
+fn first_placement(view: &MembershipView<'_>) -> MembershipStep {
+    let enough = view.registered.len() >= KeeperPlacement::wanted_copies(view.tolerated_losses);
     let wait = if enough {
         SETTLE_TIME
     } else {
@@ -91,13 +91,13 @@
     if view.unchanged < wait {
         return MembershipStep::Stay;
     }
-    let placement = KeeperPlacement::first(view.registered.to_vec(), view.lost_at_once);
+    let placement = KeeperPlacement::first(view.registered.to_vec(), view.tolerated_losses);
     MembershipStep::Propose(placement)
 }
 
 /// Returns the slot that a keeper without one should take: of one that retires or is dead, the own failure
 /// domain's first.
-fn vacant_slot(view: &MemberView<'_>, placement: &KeeperPlacement) -> Option<usize> {
+fn vacant_slot(view: &MembershipView<'_>, placement: &KeeperPlacement) -> Option<usize> {
     let alive = view
         .silence
         .iter()
--- a/crates/samphiregrade-gateway/src/role/proofs.rs
+++ b/crates/samphiregrade-gateway/src/role/proofs.rs
@@ -40,9 +40,9 @@
         return false;
     };
     let longest = context.freshness.rule().ask_interval() * FRESH_INTERVALS;
-    for slot in keepers.provers().iter().take(MOST_ASKED) {
+    for slot in keepers.proof_sources().iter().take(MOST_ASKED) {
         let sent = BootTime::now();
-        let Some(proof) = keepers.confirm(slot).await else {
+        let Some(proof) = keepers.request_proof(slot).await else {
             continue;
         };
         // The question came no earlier than it was sent, however long it took.
--- a/crates/samphiregrade-gateway/src/role/signals.rs
+++ b/crates/samphiregrade-gateway/src/role/signals.rs
@@ -25,7 +25,7 @@
 /// # Errors
 ///
 /// The system's error where signals can't be held back.
-pub fn hold_reloads() -> std::io::Result<()> {
+pub fn block_reload_signal() -> std::io::Result<()> {
     Ok(reload_set().thread_block()?)
 }
 
@@ -94,5 +94,5 @@
             detail: error.to_string(),
         },
     };
-    Logbook::of_process().record("settings-reload", &line);
+    Logbook::global().record("settings-reload", &line);
 }
--- a/crates/samphiregrade-gateway/src/role/stream.rs
+++ b/crates/samphiregrade-gateway/src/role/stream.rs
@@ -19,10 +19,10 @@
 use crate::fact::{KeeperClient, KeeperSlot};
 use crate::observe::Logbook;
 use crate::store::{
-    ALL_KEYS, FollowEvent, FollowPace, StoreClient, StoreFailure, StreamPart, StreamReply,
+    ALL_KEYS, FollowEvent, FollowTiming, StoreClient, StoreFailure, StreamPart, StreamReply,
     StreamRequest,
 };
-use crate::upstream::RETURN_TIME;
+use crate::upstream::REREGISTRATION_TIME;
 
 /// How long a keeper may hold a question that it has nothing to tell to: links give up after twice that silence.
 const STREAM_HOLD: Duration = Duration::from_millis(400);
@@ -72,7 +72,7 @@
 pub(super) async fn follow_keepers(
     context: Arc<EntryContext>,
     store: StoreClient,
-    pace: FollowPace,
+    pace: FollowTiming,
     events: mpsc::Sender<FollowEvent>,
     cancel: CancellationToken,
 ) {
@@ -107,7 +107,7 @@
 struct StreamFollower {
     context: Arc<EntryContext>,
     store: StoreClient,
-    pace: FollowPace,
+    pace: FollowTiming,
     events: mpsc::Sender<FollowEvent>,
     position: Option<StoreRevision>,
     /// Keeper that told last.
@@ -160,7 +160,7 @@
             };
             let reply = tokio::select! {
                 reply = self.ask(&source, STREAM_HOLD) => reply,
-                () = source.keepers.news().leave(self.turned, self.pace.source_patience()) => {
+                () = source.keepers.lag().wait_until_stale(self.turned, self.pace.source_timeout()) => {
                     self.turn_to_teller(&source.keepers);
                     continue;
                 }
@@ -179,7 +179,7 @@
 
     /// Turns to the keeper that knows most.
     fn turn_to_teller(&mut self, keepers: &KeeperClient) {
-        let (_, teller) = keepers.news().newest();
+        let (_, teller) = keepers.lag().newest();
         let sources = keepers.stream_sources();
         let place = sources.iter().position(|slot| slot.name == teller);
         self.turn_to(place.unwrap_or(self.turn + 1));
@@ -238,12 +238,14 @@
         let fresh = if self.keeper == source.name {
             reply.returns > self.returns
         } else {
-            reply.returned.is_some_and(|since| since < RETURN_TIME)
+            reply
+                .returned
+                .is_some_and(|since| since < REREGISTRATION_TIME)
         };
         self.keeper = source.name.clone();
         self.returns = reply.returns;
         if fresh && !reply.lost {
-            self.send(FollowEvent::Regained(reply.returned.unwrap_or_default()))
+            self.send(FollowEvent::Reconnected(reply.returned.unwrap_or_default()))
                 .await?;
         }
         Ok(())
@@ -262,7 +264,7 @@
         };
         self.note_source("", "no keeper tells");
         self.keeper = SmolStr::default();
-        self.send(FollowEvent::Regained(silent)).await?;
+        self.send(FollowEvent::Reconnected(silent)).await?;
         self.send_page(page, FollowEvent::All).await?;
         self.send_proof(Some(sent)).await?;
         let mut wait = self.pace.watch_wait(true);
@@ -290,7 +292,7 @@
             self.send_page(page, FollowEvent::Changes).await?;
             self.send_proof(proof).await?;
             if changed {
-                tokio::time::sleep(self.pace.gather).await;
+                tokio::time::sleep(self.pace.batch_delay).await;
             }
         }
     }
@@ -326,9 +328,9 @@
     where
         Event: FnOnce(StorePage) -> FollowEvent,
     {
-        self.position = Some(page.at);
+        self.position = Some(page.revision);
         if let Some(keepers) = self.context.keepers.load().as_ref() {
-            keepers.news().take(page.at);
+            keepers.lag().advance(page.revision);
         }
         self.send(event(page)).await
     }
@@ -343,15 +345,15 @@
         }
         let keepers = self.context.keepers.load();
         let keepers = keepers.as_ref();
-        let behind = keepers.map_or(Duration::ZERO, |keepers| keepers.news().behind_for());
+        let behind = keepers.map_or(Duration::ZERO, |keepers| keepers.lag().duration());
         let line = SourceLine {
             keeper,
             reason,
             position: self.position.unwrap_or(0),
             silent_ms: self.told.elapsed().as_millis(),
-            newest: keepers.map_or(0, |keepers| keepers.news().newest().0),
+            newest: keepers.map_or(0, |keepers| keepers.lag().newest().0),
             behind_ms: behind.as_millis(),
         };
-        Logbook::of_process().record("store-source", &line);
+        Logbook::global().record("store-source", &line);
     }
 }
--- a/crates/samphiregrade-gateway/src/routing.rs
+++ b/crates/samphiregrade-gateway/src/routing.rs
@@ -85,11 +85,11 @@
         credential: &CallerCredential,
     ) -> Option<CallerIdentity> {
         let Some(keys) = &self.keys else {
-            return Some(CallerIdentity::Unasked);
+            return Some(CallerIdentity::KeyNotRequired);
         };
         let known = keys.identify(credential);
         let is_open = route.access == RouteAccess::Open;
-        known.or_else(|| is_open.then_some(CallerIdentity::Open))
+        known.or_else(|| is_open.then_some(CallerIdentity::Anonymous))
     }
 
     /// Returns the place of a priority among those of all routes to a service.
--- a/crates/samphiregrade-gateway/src/settings.rs
+++ b/crates/samphiregrade-gateway/src/settings.rs
@@ -12,7 +12,7 @@
 use crate::access::FreshnessRule;
 use crate::limits::LimitRule;
 use crate::model::DomainId;
-use crate::store::FollowPace;
+use crate::store::FollowTiming;
 
 /// Part of the time in which changes have to be in force for which they are gathered: upstreams start and leave in groups,
 /// and each change costs calls of each one who follows.
@@ -198,7 +198,7 @@
 impl OrganisationSection {
     /// Returns how long a withdrawn key may be served.
     #[must_use]
-    pub fn freshness(&self) -> FreshnessRule {
+    pub fn freshness_rule(&self) -> FreshnessRule {
         let bound = self.withdrawal_milliseconds;
         FreshnessRule {
             strict: bound.map(|bound| Duration::from_secs_f64(bound / 1000.0)),
@@ -209,10 +209,10 @@
     /// need not go on for much longer without homes.
     #[must_use]
     pub fn limit_rule(&self) -> LimitRule {
-        let alone = self.freshness().strict.map(|bound| bound * 2);
+        let alone = self.freshness_rule().strict.map(|bound| bound * 2);
         LimitRule {
             window: Duration::from_secs_f64(self.limit_window_seconds),
-            alone: alone.unwrap_or(LimitRule::default().alone),
+            standalone_period: alone.unwrap_or(LimitRule::default().standalone_period),
         }
     }
 }
@@ -233,7 +233,7 @@
     /// Returns the time within which each change of the key-value service has to be in force: an upstream that leaves, and
     /// a configuration.
     #[must_use]
-    pub fn in_force(&self) -> Duration {
+    pub fn propagation_limit(&self) -> Duration {
         let configuration = self.configuration_milliseconds;
         let configuration = configuration.unwrap_or(self.drain_milliseconds);
         let shorter = configuration.min(self.drain_milliseconds);
@@ -242,18 +242,18 @@
 
     /// Returns the time for which changes of the key-value service are gathered.
     #[must_use]
-    pub fn gather(&self) -> Duration {
-        self.in_force().mul_f64(GATHER_SHARE)
+    pub fn batch_delay(&self) -> Duration {
+        self.propagation_limit().mul_f64(GATHER_SHARE)
     }
 }
 
 impl GatewaySettings {
     /// Returns how an entry follows the key-value service where no keeper tells anything.
     #[must_use]
-    pub fn follow_pace(&self) -> FollowPace {
-        let freshness = self.organisations.freshness();
+    pub fn follow_timing(&self) -> FollowTiming {
+        let freshness = self.organisations.freshness_rule();
         let proofs = freshness.strict.map(|_| freshness.read_interval());
-        FollowPace::new(self.times.gather(), proofs)
+        FollowTiming::new(self.times.batch_delay(), proofs)
     }
 
     /// Reads and checks a file.
--- a/crates/samphiregrade-gateway/src/store/client.rs
+++ b/crates/samphiregrade-gateway/src/store/client.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 use tokio::sync::Mutex;
 
-use crate::dialect::{Dialect, ReadAge, StoreCall, StoreChange, StorePage};
+use crate::dialect::{Dialect, ReadConsistency, StoreCall, StorePage, StoreWrite};
 use crate::observe::GatewayMetrics;
 
 /// Longest wait for a connection.
@@ -77,7 +77,7 @@
 
     /// Returns a client with a connection of its own.
     #[must_use]
-    pub fn separate(&self) -> Self {
+    pub fn with_own_connection(&self) -> Self {
         Self::new(self.address, self.dialect.clone(), self.metrics.clone())
     }
 
@@ -87,7 +87,8 @@
     ///
     /// [`StoreFailure`] where a page is missing.
     pub async fn read_all(&self, prefix: &str) -> Result<StorePage, StoreFailure> {
-        self.read_pages(prefix, ReadAge::Newest, CALL_TIMEOUT).await
+        self.read_pages(prefix, ReadConsistency::Latest, CALL_TIMEOUT)
+            .await
     }
 
     /// Reads all keys under a prefix, each page within a time.
@@ -100,7 +101,8 @@
         prefix: &str,
         timeout: Duration,
     ) -> Result<StorePage, StoreFailure> {
-        self.read_pages(prefix, ReadAge::Newest, timeout).await
+        self.read_pages(prefix, ReadConsistency::Latest, timeout)
+            .await
     }
 
     /// Reads all keys under a prefix as they were some seconds ago at worst, which costs the service a tenth.
@@ -109,14 +111,14 @@
     ///
     /// [`StoreFailure`] where a page is missing.
     pub async fn read_stale(&self, prefix: &str) -> Result<StorePage, StoreFailure> {
-        self.read_pages(prefix, ReadAge::MayBeOld, CALL_TIMEOUT)
+        self.read_pages(prefix, ReadConsistency::MayBeStale, CALL_TIMEOUT)
             .await
     }
 
     async fn read_pages(
         &self,
         prefix: &str,
-        age: ReadAge,
+        age: ReadConsistency,
         timeout: Duration,
     ) -> Result<StorePage, StoreFailure> {
         let mut whole = StorePage::default();
@@ -127,7 +129,7 @@
             let answer = self.call(&call, timeout).await?;
             let page = self.page(&answer)?;
             if first {
-                whole.at = page.at;
+                whole.revision = page.revision;
             }
             whole.nameless += page.nameless;
             let more = page.has_more;
@@ -164,8 +166,8 @@
     ///
     /// [`StoreFailure::Changed`] where the condition does not hold; after
     /// [`StoreFailure::NoAnswer`] the change may still take effect.
-    pub async fn change(&self, change: &StoreChange) -> Result<(), StoreFailure> {
-        let call = self.dialect.change_call(change);
+    pub async fn write(&self, change: &StoreWrite) -> Result<(), StoreFailure> {
+        let call = self.dialect.write_call(change);
         let answer = self.call(&call, CALL_TIMEOUT).await?;
         match answer.status {
             200 => Ok(()),
--- a/crates/samphiregrade-gateway/src/store/follow.rs
+++ b/crates/samphiregrade-gateway/src/store/follow.rs
@@ -28,19 +28,19 @@
 
 /// How a follower asks.
 #[derive(Clone, Copy, Debug)]
-pub struct FollowPace {
+pub struct FollowTiming {
     /// How long it waits after changes before it asks again, so that changes that come together cost one call.
-    pub gather: Duration,
+    pub batch_delay: Duration,
     /// Longest time for which a watch is held: how often its end proves that nothing has changed.
     pub longest_watch: Duration,
 }
 
-impl FollowPace {
+impl FollowTiming {
     /// Makes the pace of one whose watches are held as long as the service holds them, unless a proof is needed sooner.
     #[must_use]
-    pub fn new(gather: Duration, proof_interval: Option<Duration>) -> Self {
+    pub fn new(batch_delay: Duration, proof_interval: Option<Duration>) -> Self {
         Self {
-            gather,
+            batch_delay,
             longest_watch: proof_interval.unwrap_or(WATCH_WAIT),
         }
     }
@@ -48,8 +48,8 @@
     /// Returns the time in which a source has to tell what others tell: it may have begun to gather changes just before,
     /// and half as much again is for the way.
     #[must_use]
-    pub fn source_patience(&self) -> Duration {
-        self.gather.mul_f64(1.5)
+    pub fn source_timeout(&self) -> Duration {
+        self.batch_delay.mul_f64(1.5)
     }
 
     /// Returns how long the service holds the next watch, after one that brought changes or none.
@@ -71,9 +71,9 @@
     /// Changes in order.
     Changes(StorePage),
     /// The service has become unreachable for this follower.
-    Lost,
+    Disconnected,
     /// The service is reachable again; it was lost for the given time.
-    Regained(Duration),
+    Reconnected(Duration),
     /// All changes up to a moment have been told.
     Confirmed(BootTime),
 }
@@ -93,7 +93,7 @@
 pub async fn follow_prefix(
     client: StoreClient,
     prefix: &'static str,
-    pace: FollowPace,
+    pace: FollowTiming,
     events: mpsc::Sender<FollowEvent>,
     outdated: Arc<Notify>,
     cancel: CancellationToken,
@@ -119,7 +119,7 @@
 struct PrefixFollower {
     client: StoreClient,
     prefix: &'static str,
-    pace: FollowPace,
+    pace: FollowTiming,
     events: mpsc::Sender<FollowEvent>,
     /// Told where a watch has stayed silent about a change.
     outdated: Arc<Notify>,
@@ -176,14 +176,19 @@
         if let Some(since) = self.lost_since.take() {
             let lost = since.elapsed();
             self.log("store-regained", String::new(), lost);
-            if self.events.send(FollowEvent::Regained(lost)).await.is_err() {
+            if self
+                .events
+                .send(FollowEvent::Reconnected(lost))
+                .await
+                .is_err()
+            {
                 return false;
             }
         }
         let (FollowEvent::All(page) | FollowEvent::Changes(page)) = &event else {
             return true;
         };
-        self.position = Some(page.at);
+        self.position = Some(page.revision);
         if page.nameless > 0 {
             let reason = format!("{} items name no key; the others hold", page.nameless);
             self.log("store-items-nameless", reason, Duration::ZERO);
@@ -192,7 +197,7 @@
         self.wait = self.pace.watch_wait(changed);
         let open = self.events.send(event).await.is_ok();
         if changed {
-            tokio::time::sleep(self.pace.gather).await;
+            tokio::time::sleep(self.pace.batch_delay).await;
         }
         open
     }
@@ -206,7 +211,7 @@
         if self.lost_since.is_none() {
             self.lost_since = Some(Instant::now());
             self.log("store-lost", failure.to_string(), Duration::ZERO);
-            if self.events.send(FollowEvent::Lost).await.is_err() {
+            if self.events.send(FollowEvent::Disconnected).await.is_err() {
                 return false;
             }
         }
@@ -228,6 +233,6 @@
             position: self.position.unwrap_or(0),
             unanswered_ms: self.answered.elapsed().as_millis(),
         };
-        Logbook::of_process().record(event, &line);
+        Logbook::global().record(event, &line);
     }
 }
--- a/crates/samphiregrade-gateway/src/store/mirror.rs
+++ b/crates/samphiregrade-gateway/src/store/mirror.rs
@@ -14,7 +14,7 @@
 
 use super::follow::FollowEvent;
 use crate::dialect::{StoreItem, StorePage, StoreRevision, StoreValue};
-use crate::hold::hold;
+use crate::hold::lock_ignoring_poison;
 
 /// Changes that are kept for those who follow; who has missed more takes everything anew.
 const HISTORY_LIMIT: usize = 1024;
@@ -60,7 +60,7 @@
     pub fn revision(&self) -> Option<StoreRevision> {
         match &self.part {
             StreamPart::Unread => None,
-            StreamPart::All(page) | StreamPart::Changes(page) => Some(page.at),
+            StreamPart::All(page) | StreamPart::Changes(page) => Some(page.revision),
             StreamPart::Nothing(at) => Some(*at),
         }
     }
@@ -89,8 +89,8 @@
 impl MirrorState {
     fn take(&mut self, event: &FollowEvent, now: Instant) {
         match event {
-            FollowEvent::Lost => self.lost = true,
-            FollowEvent::Regained(_) => {
+            FollowEvent::Disconnected => self.lost = true,
+            FollowEvent::Reconnected(_) => {
                 self.lost = false;
                 self.returns += 1;
                 self.returned = Some(now);
@@ -107,8 +107,8 @@
             self.items.insert(item.key.clone(), item.clone());
         }
         self.history.clear();
-        self.floor = page.at;
-        self.at = Some(page.at);
+        self.floor = page.revision;
+        self.at = Some(page.revision);
     }
 
     fn change(&mut self, page: &StorePage) {
@@ -125,7 +125,7 @@
                 self.floor = self.floor.max(dropped.revision);
             }
         }
-        self.at = Some(page.at);
+        self.at = Some(page.revision);
     }
 
     fn part_after(&self, position: Option<StoreRevision>) -> StreamPart {
@@ -135,7 +135,7 @@
         let Some(position) = position.filter(|&position| position >= self.floor) else {
             return StreamPart::All(StorePage {
                 items: self.items.values().cloned().collect(),
-                at,
+                revision: at,
                 ..StorePage::default()
             });
         };
@@ -147,7 +147,7 @@
         let newer = newer.filter(|item| item.revision > position || item.revision == 0);
         StreamPart::Changes(StorePage {
             items: newer.cloned().collect(),
-            at,
+            revision: at,
             ..StorePage::default()
         })
     }
@@ -185,24 +185,27 @@
 impl StoreMirror {
     /// Takes what the keeper learns.
     pub fn take(&self, event: &FollowEvent, now: Instant) {
-        hold(&self.state).take(event, now);
+        lock_ignoring_poison(&self.state).take(event, now);
         self.changed.send_replace(());
     }
 
     /// Returns the revision up to which everything is known; 0 before anything is.
     #[must_use]
     pub fn revision(&self) -> StoreRevision {
-        hold(&self.state).at.unwrap_or(0)
+        lock_ignoring_poison(&self.state).at.unwrap_or(0)
     }
 
     /// Returns the revision of a key; `None` where it is not known.
     #[must_use]
     pub fn revision_of(&self, key: &str) -> Option<StoreRevision> {
-        hold(&self.state).items.get(key).map(|item| item.revision)
+        lock_ignoring_poison(&self.state)
+            .items
+            .get(key)
+            .map(|item| item.revision)
     }
 
     /// Holds no question back from now on: a keeper that stops is away for a shorter time.
-    pub fn leave(&self) {
+    pub fn release_waiters(&self) {
         self.leaving.cancel();
     }
 
@@ -212,7 +215,7 @@
         let due = Instant::now() + request.hold;
         loop {
             let now = Instant::now();
-            let reply = hold(&self.state).reply(request.position, now);
+            let reply = lock_ignoring_poison(&self.state).reply(request.position, now);
             let waits = matches!(reply.part, StreamPart::Nothing(_)) && !reply.lost;
             if !waits || now >= due || self.leaving.is_cancelled() {
                 return reply;
--- a/crates/samphiregrade-gateway/src/store/mod.rs
+++ b/crates/samphiregrade-gateway/src/store/mod.rs
@@ -8,10 +8,10 @@
 mod router;
 
 pub use client::{StoreClient, StoreFailure};
-pub use follow::{FollowEvent, FollowPace, follow_prefix};
+pub use follow::{FollowEvent, FollowTiming, follow_prefix};
 pub use mirror::{StoreMirror, StreamPart, StreamReply, StreamRequest};
-pub use news::RevisionNews;
-pub use proof::{ConfigurationProof, ConfigurationProver, ProofBoard};
+pub use news::LagTracker;
+pub use proof::{ConfigurationProof, ConfigurationProver, ProofCache};
 pub use router::{EVENT_QUEUE, EventRouter};
 
 /// Prefix of all keys: one watch brings the configuration, the upstreams and what instances share. Three watches cost
--- a/crates/samphiregrade-gateway/src/store/news.rs
+++ b/crates/samphiregrade-gateway/src/store/news.rs
@@ -22,7 +22,7 @@
 
 /// The revisions that others have told and this instance doesn't know yet.
 #[derive(Debug, Default)]
-pub struct RevisionNews {
+pub struct LagTracker {
     /// Revision up to which the instance knows everything.
     position: StoreRevision,
     /// Newer revisions in order, with when each was heard of first.
@@ -32,7 +32,7 @@
     teller: SmolStr,
 }
 
-impl RevisionNews {
+impl LagTracker {
     /// Notes a revision up to which somebody knows everything; returns whether the instance has just fallen behind.
     pub fn hear(&mut self, teller: &SmolStr, revision: StoreRevision, now: Instant) -> bool {
         if revision <= self.newest {
--- a/crates/samphiregrade-gateway/src/store/proof.rs
+++ b/crates/samphiregrade-gateway/src/store/proof.rs
@@ -16,7 +16,7 @@
 use super::mirror::StoreMirror;
 use crate::access::BootTime;
 use crate::dialect::StoreRevision;
-use crate::hold::hold;
+use crate::hold::lock_ignoring_poison;
 
 /// Reads after the last question with which a keeper goes on.
 const READS_UNASKED: u32 = 2;
@@ -53,7 +53,7 @@
 
 /// What a keeper has proved, and whether anybody asks.
 #[derive(Debug)]
-pub struct ProofBoard {
+pub struct ProofCache {
     read: watch::Sender<Option<ProvedRead>>,
     /// Until when the keeper reads.
     reads_until: Mutex<Option<Instant>>,
@@ -62,7 +62,7 @@
     wanted: Notify,
 }
 
-impl Default for ProofBoard {
+impl Default for ProofCache {
     fn default() -> Self {
         Self {
             read: watch::Sender::new(None),
@@ -73,13 +73,13 @@
     }
 }
 
-impl ProofBoard {
+impl ProofCache {
     /// Answers a question; waits a little where nobody has asked lately.
     pub async fn answer(&self) -> Option<ConfigurationProof> {
         let came = BootTime::now();
         let idle = !self.is_asked();
         let interval = Duration::from_millis(self.interval.load(Ordering::Relaxed));
-        *hold(&self.reads_until) = Some(Instant::now() + interval * READS_UNASKED);
+        *lock_ignoring_poison(&self.reads_until) = Some(Instant::now() + interval * READS_UNASKED);
         if idle {
             let mut reads = self.read.subscribe();
             self.wanted.notify_one();
@@ -94,7 +94,7 @@
     }
 
     fn is_asked(&self) -> bool {
-        hold(&self.reads_until).is_some_and(|until| Instant::now() < until)
+        lock_ignoring_poison(&self.reads_until).is_some_and(|until| Instant::now() < until)
     }
 }
 
@@ -107,7 +107,7 @@
     /// Time between two reads.
     pub interval: Duration,
     /// Where reads are told.
-    pub board: Arc<ProofBoard>,
+    pub cache: Arc<ProofCache>,
     /// What the keeper's watch has brought.
     pub mirror: Arc<StoreMirror>,
     /// Told where the watch has stayed silent about a change.
@@ -118,12 +118,12 @@
     /// Reads until told to stop.
     pub async fn run(self, stop: CancellationToken) {
         let interval = u64::try_from(self.interval.as_millis()).unwrap_or(u64::MAX);
-        self.board.interval.store(interval, Ordering::Relaxed);
+        self.cache.interval.store(interval, Ordering::Relaxed);
         loop {
-            if !self.board.is_asked() {
+            if !self.cache.is_asked() {
                 tokio::select! {
                     () = stop.cancelled() => return,
-                    () = self.board.wanted.notified() => {}
+                    () = self.cache.wanted.notified() => {}
                 }
             }
             let pause = if self.read().await {
@@ -152,7 +152,7 @@
             return false;
         };
         let revision = item.revision;
-        self.board
+        self.cache
             .read
             .send_replace(Some(ProvedRead { revision, sent }));
         if self.is_behind(revision) {
--- a/crates/samphiregrade-gateway/src/store/router.rs
+++ b/crates/samphiregrade-gateway/src/store/router.rs
@@ -62,8 +62,8 @@
             let concerns = prefix.is_empty() || !part.items.is_empty();
             concerns.then_some(FollowEvent::Changes(part))
         }
-        FollowEvent::Lost => Some(FollowEvent::Lost),
-        FollowEvent::Regained(lost) => Some(FollowEvent::Regained(*lost)),
+        FollowEvent::Disconnected => Some(FollowEvent::Disconnected),
+        FollowEvent::Reconnected(lost) => Some(FollowEvent::Reconnected(*lost)),
         FollowEvent::Confirmed(moment) => Some(FollowEvent::Confirmed(*moment)),
     }
 }
--- a/crates/samphiregrade-gateway/src/upstream/balance.rs
+++ b/crates/samphiregrade-gateway/src/upstream/balance.rs
@@ -74,7 +74,7 @@
 /// What has faded is taken to be as with the others: an upstream that has not been heard of for a while isn't idle, and
 /// one that has just answered isn't left for it.
 #[must_use]
-pub fn believed_loads(views: &[LoadView]) -> Vec<f64> {
+pub fn estimate_loads(views: &[LoadView]) -> Vec<f64> {
     let known: f64 = views.iter().map(|view| view.freshness).sum();
     let others: f64 = views.iter().map(|view| view.others * view.freshness).sum();
     let mean = others / known.max(LEAST_FRESHNESS);
@@ -89,9 +89,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkEstimate {
     /// How long it holds a slot, in milliseconds.
-    pub hold_milliseconds: f64,
+    pub slot_milliseconds: f64,
     /// Prompt tokens that an engine reads in a millisecond.
-    pub reading_rate: f64,
+    pub prefill_rate: f64,
     /// Whether an engine runs it in a batch with others.
     pub on_engine: bool,
 }
@@ -100,7 +100,7 @@
     /// Takes what a keeper tells of the upstream in place of this instance's own view; `own` is the requests of this
     /// instance, of which the keeper may not have heard yet, and `home` tells whether the upstream is a home of the
     /// prompt's first part.
-    pub fn take_account(&mut self, account: &UpstreamAccount, own: u32, home: bool) {
+    pub fn apply_account(&mut self, account: &UpstreamAccount, own: u32, home: bool) {
         let told = f64::from(account.running.max(own));
         self.load = if account.informed < LOAD_INFORMED {
             self.load.max(told)
@@ -129,7 +129,7 @@
         let slots = self.slots.max(1.0);
         let running = self.load.min(slots);
         let ahead = (self.load + 1.0 - slots).max(0.0);
-        let queue = ahead * work.hold_milliseconds / slots;
+        let queue = ahead * work.slot_milliseconds / slots;
         let way = if self.elsewhere {
             OTHER_DOMAIN_MILLISECONDS
         } else {
@@ -140,11 +140,11 @@
         } else {
             CONNECT_MILLISECONDS
         };
-        let read = f64::from(self.uncached_tokens) / work.reading_rate.max(f64::MIN_POSITIVE);
+        let read = f64::from(self.uncached_tokens) / work.prefill_rate.max(f64::MIN_POSITIVE);
         let shared = if work.on_engine {
-            read * (1.0 + running) + BATCH_SHARE * work.hold_milliseconds * running
+            read * (1.0 + running) + BATCH_SHARE * work.slot_milliseconds * running
         } else {
-            PLAIN_SHARING * work.hold_milliseconds * running / slots
+            PLAIN_SHARING * work.slot_milliseconds * running / slots
         };
         shared + queue + way + connection + self.penalty.as_secs_f64() * 1000.0
     }
--- a/crates/samphiregrade-gateway/src/upstream/breaker.rs
+++ b/crates/samphiregrade-gateway/src/upstream/breaker.rs
@@ -30,14 +30,14 @@
 
 impl UpstreamBreaker {
     /// Notes an answer; returns whether the breaker closed with it.
-    pub fn succeed(&mut self) -> bool {
+    pub fn record_success(&mut self) -> bool {
         let was_open = self.rests > 0;
         *self = Self::default();
         was_open
     }
 
     /// Notes a failure; `certain` where nobody listens. Returns whether the breaker opened with it.
-    pub fn fail(&mut self, now: Instant, certain: bool) -> bool {
+    pub fn record_failure(&mut self, now: Instant, certain: bool) -> bool {
         self.failures += 1;
         let tried_again = self.rests > 0 && self.state(now) == BreakerState::Closed;
         if !certain && !tried_again && self.failures < FAILURES_ALLOWED {
--- a/crates/samphiregrade-gateway/src/upstream/directory.rs
+++ b/crates/samphiregrade-gateway/src/upstream/directory.rs
@@ -9,13 +9,13 @@
 
 use super::peer::{DomainSilence, Upstream};
 use crate::model::{
-    DomainId, ServiceName, UpstreamEntry, UpstreamId, UpstreamStart, UpstreamState,
+    DomainId, ServiceName, UpstreamId, UpstreamRecord, UpstreamStart, UpstreamState,
 };
 use crate::observe::Logbook;
 
 /// Time after the key-value service's return within which lapsed entries come back: they are back within
 /// about two seconds.
-pub const RETURN_TIME: Duration = Duration::from_millis(2200);
+pub const REREGISTRATION_TIME: Duration = Duration::from_millis(2200);
 
 /// Part of the time for draining for which an upstream without an entry may still be used as a last resort.
 const DEPARTURE_SHARE: f64 = 0.5;
@@ -35,7 +35,7 @@
     pub fn for_drain(drain: Duration) -> Self {
         Self {
             steady: drain.mul_f64(DEPARTURE_SHARE),
-            unsettled: RETURN_TIME,
+            unsettled: REREGISTRATION_TIME,
         }
     }
 }
@@ -104,8 +104,8 @@
     }
 
     /// Notes that the key-value service has been unreachable until now.
-    pub fn unsettle(&mut self, now: Instant) {
-        self.unsettled_until = Some(now + RETURN_TIME);
+    pub fn record_store_outage(&mut self, now: Instant) {
+        self.unsettled_until = Some(now + REREGISTRATION_TIME);
         for departure in &mut self.departures {
             departure.at = departure.at.max(now + self.rule.unsettled);
         }
@@ -115,24 +115,25 @@
     ///
     /// One that describes another start of a known upstream makes it a new one, of which nothing is known; one that
     /// describes a start that is over comes too late and says nothing.
-    pub fn put(&mut self, entry: UpstreamEntry, now: Instant) {
-        let Some(known) = self.known.get(&entry.id) else {
-            log_upstream("upstream-added", &entry);
-            self.add(entry, now);
+    pub fn put(&mut self, record: UpstreamRecord, now: Instant) {
+        let Some(known) = self.known.get(&record.id) else {
+            log_upstream("upstream-added", &record);
+            self.add(record, now);
             return;
         };
-        if known.entry.is_after(&entry) {
-            log_upstream("upstream-entry-outdated", &entry);
+        if known.record.is_after(&record) {
+            log_upstream("upstream-entry-outdated", &record);
             return;
         }
-        self.departures.retain(|departure| departure.id != entry.id);
-        if !known.entry.is_same_start(&entry) {
-            log_upstream("upstream-started-again", &entry);
+        self.departures
+            .retain(|departure| departure.id != record.id);
+        if !known.record.is_same_start(&record) {
+            log_upstream("upstream-started-again", &record);
             known.set_draining(true);
-            self.add(entry, now);
+            self.add(record, now);
             return;
         }
-        let draining = entry.state == UpstreamState::Draining;
+        let draining = record.state == UpstreamState::Draining;
         known.set_departed(false);
         if known.takes_requests() == draining {
             known.set_draining(draining);
@@ -141,18 +142,18 @@
             } else {
                 "upstream-ready"
             };
-            log_upstream(event, &entry);
+            log_upstream(event, &record);
         }
     }
 
     /// Starts to keep track of an upstream, in place of a known one with its id.
-    fn add(&mut self, entry: UpstreamEntry, now: Instant) {
-        let domain = self.domains.entry(entry.domain.clone()).or_default();
-        let draining = entry.state == UpstreamState::Draining;
-        let upstream = Upstream::new(entry, domain.clone(), now);
+    fn add(&mut self, record: UpstreamRecord, now: Instant) {
+        let domain = self.domains.entry(record.domain.clone()).or_default();
+        let draining = record.state == UpstreamState::Draining;
+        let upstream = Upstream::new(record, domain.clone(), now);
         upstream.set_draining(draining);
         self.known
-            .insert(upstream.entry.id.clone(), Arc::new(upstream));
+            .insert(upstream.record.id.clone(), Arc::new(upstream));
         self.publish();
     }
 
@@ -181,7 +182,7 @@
         } else {
             self.rule.steady
         };
-        log_upstream("upstream-entry-gone", &upstream.entry);
+        log_upstream("upstream-entry-gone", &upstream.record);
         self.departures.push(Departure {
             id: id.clone(),
             at: now + wait,
@@ -189,23 +190,23 @@
     }
 
     /// Takes all entries as they are: those that are missing are gone. Those that can't be read are rejected before.
-    pub fn replace(&mut self, entries: Vec<UpstreamEntry>, now: Instant) {
+    pub fn replace(&mut self, entries: Vec<UpstreamRecord>, now: Instant) {
         let missing: Vec<UpstreamId> = self
             .known
             .keys()
-            .filter(|id| !entries.iter().any(|entry| entry.id == **id))
+            .filter(|id| !entries.iter().any(|record| record.id == **id))
             .cloned()
             .collect();
         for id in missing {
             self.remove(&id, now);
         }
-        for entry in entries {
-            self.put(entry, now);
+        for record in entries {
+            self.put(record, now);
         }
     }
 
     /// Drops upstreams whose time has come; returns when to look again.
-    pub fn settle(&mut self, now: Instant) -> Option<Instant> {
+    pub fn drop_departed(&mut self, now: Instant) -> Option<Instant> {
         let due: Vec<UpstreamId> = self
             .departures
             .iter()
@@ -216,7 +217,7 @@
         for id in &due {
             if let Some(upstream) = self.known.remove(id) {
                 upstream.set_draining(true);
-                log_upstream("upstream-dropped", &upstream.entry);
+                log_upstream("upstream-dropped", &upstream.record);
             }
         }
         if !due.is_empty() {
@@ -228,7 +229,7 @@
     fn publish(&self) {
         let mut directory = UpstreamDirectory::default();
         for upstream in self.known.values() {
-            let service = upstream.entry.service.clone();
+            let service = upstream.record.service.clone();
             directory
                 .services
                 .entry(service)
@@ -236,19 +237,19 @@
                 .push(upstream.clone());
         }
         for upstreams in directory.services.values_mut() {
-            upstreams.sort_by(|left, right| left.entry.id.cmp(&right.entry.id));
+            upstreams.sort_by(|left, right| left.record.id.cmp(&right.record.id));
         }
         self.directory.store(Arc::new(directory));
     }
 }
 
-fn log_upstream(event: &'static str, entry: &UpstreamEntry) {
+fn log_upstream(event: &'static str, record: &UpstreamRecord) {
     let line = UpstreamLine {
-        upstream: &entry.id,
-        started: entry.started,
-        service: &entry.service,
-        domain: &entry.domain,
-        address: entry.address.to_string(),
+        upstream: &record.id,
+        started: record.started,
+        service: &record.service,
+        domain: &record.domain,
+        address: record.address.to_string(),
     };
-    Logbook::of_process().record(event, &line);
+    Logbook::global().record(event, &line);
 }
--- a/crates/samphiregrade-gateway/src/upstream/homes.rs
+++ b/crates/samphiregrade-gateway/src/upstream/homes.rs
@@ -13,7 +13,7 @@
 use rand::Rng;
 use rand::seq::SliceRandom;
 
-use crate::mix::mix;
+use crate::mix::hash_pair;
 
 /// Time after which an earlier request counts half: a burst of one kind of prompt is noticed within seconds.
 const COUNT_HALF_LIFE: Duration = Duration::from_secs(8);
@@ -46,11 +46,11 @@
 
 /// How often first parts of prompts are seen.
 #[derive(Debug, Default)]
-pub struct FirstParts {
+pub struct PrefixShares {
     state: Mutex<PartCounts>,
 }
 
-impl FirstParts {
+impl PrefixShares {
     /// Counts a request; returns its first part's share of the requests.
     pub fn count(&self, part: u64, now: Instant) -> f64 {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
@@ -111,7 +111,7 @@
 
 /// A first part of prompts that needs homes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct SharedPart {
+pub struct SharedPrefix {
     /// Its tag.
     pub tag: u64,
     /// Its tokens.
@@ -122,7 +122,7 @@
     pub capacity: u64,
 }
 
-impl SharedPart {
+impl SharedPrefix {
     /// Returns the homes for each engine that the part's share comes to: as many as engines' memory allows, so that load
     /// can be spread.
     #[allow(clippy::cast_precision_loss)]
@@ -147,9 +147,9 @@
 
 /// Ranks engines as homes of a part; a part with too small a share of the requests has none.
 #[must_use]
-pub fn ranked_homes(part: &SharedPart, engines: &[u64]) -> HomeRanking {
+pub fn rank_homes(part: &SharedPrefix, engines: &[u64]) -> HomeRanking {
     let mut order: Vec<usize> = (0..engines.len()).collect();
-    order.sort_unstable_by_key(|&index| std::cmp::Reverse(mix(part.tag, engines[index])));
+    order.sort_unstable_by_key(|&index| std::cmp::Reverse(hash_pair(part.tag, engines[index])));
     HomeRanking {
         count: part.wanted_homes(engines.len()),
         order,
--- a/crates/samphiregrade-gateway/src/upstream/outcome_board.rs
+++ b/crates/samphiregrade-gateway/src/upstream/outcome_board.rs
@@ -8,7 +8,7 @@
 use smol_str::SmolStr;
 
 use super::outcomes::{Outcome, OutcomeCounts, OutcomeDelta, UpstreamSuspect};
-use crate::hold::hold;
+use crate::hold::lock_ignoring_poison;
 use crate::model::UpstreamTag;
 use crate::observe::Logbook;
 
@@ -48,15 +48,15 @@
 
 /// The account; one for each entry.
 #[derive(Debug, Default)]
-pub struct OutcomeBoard {
+pub struct OutcomeTracker {
     state: Mutex<BoardState>,
 }
 
-impl OutcomeBoard {
+impl OutcomeTracker {
     /// Notes how a request ended.
     pub fn note(&self, upstream: UpstreamTag, outcome: Outcome, now: Instant) {
         let delta = OutcomeDelta::of(upstream, outcome);
-        let mut state = hold(&self.state);
+        let mut state = lock_ignoring_poison(&self.state);
         state.change(upstream, now, |counts| counts.add(&delta, now));
         state.next += 1;
         state.untold.push_back(delta);
@@ -67,8 +67,8 @@
 
     /// Returns what a keeper has not been told yet, which counts as told with it.
     #[must_use]
-    pub fn untold(&self, keeper: &SmolStr) -> Vec<OutcomeDelta> {
-        let mut state = hold(&self.state);
+    pub fn take_unreported(&self, keeper: &SmolStr) -> Vec<OutcomeDelta> {
+        let mut state = lock_ignoring_poison(&self.state);
         let next = state.next;
         let told = state.told.insert(keeper.clone(), next).unwrap_or(0);
         let waiting = usize::try_from(next - told).unwrap_or(usize::MAX);
@@ -87,11 +87,11 @@
     }
 
     /// Takes what a keeper tells.
-    pub fn learn(&self, suspects: &[UpstreamSuspect], now: Instant) {
+    pub fn merge_suspects(&self, suspects: &[UpstreamSuspect], now: Instant) {
         if suspects.is_empty() {
             return;
         }
-        let mut state = hold(&self.state);
+        let mut state = lock_ignoring_poison(&self.state);
         for suspect in suspects {
             let told = OutcomeCounts::told(suspect, now);
             state.change(suspect.upstream, now, |counts| {
@@ -108,22 +108,22 @@
     /// Returns the time that a request is to be expected to lose at an upstream.
     #[must_use]
     pub fn penalty(&self, upstream: UpstreamTag, repeatable: bool, now: Instant) -> Duration {
-        let state = hold(&self.state);
+        let state = lock_ignoring_poison(&self.state);
         let counts = state.counts.get(&upstream);
         counts.map_or(Duration::ZERO, |counts| counts.penalty(repeatable, now))
     }
 
     /// Uses the leave to probe an upstream; returns whether there was one.
     #[must_use]
-    pub fn take_leave(&self, upstream: UpstreamTag, now: Instant) -> bool {
-        let given = hold(&self.state).leaves.remove(&upstream);
+    pub fn take_probe_permit(&self, upstream: UpstreamTag, now: Instant) -> bool {
+        let given = lock_ignoring_poison(&self.state).leaves.remove(&upstream);
         given.is_some_and(|given| now.saturating_duration_since(given) < PROBE_LEAVE)
     }
 
     /// Returns whether any leave to probe is open.
     #[must_use]
-    pub fn has_leave(&self) -> bool {
-        !hold(&self.state).leaves.is_empty()
+    pub fn has_probe_permit(&self) -> bool {
+        !lock_ignoring_poison(&self.state).leaves.is_empty()
     }
 
     /// Forgets the upstreams that are not known any more.
@@ -131,7 +131,7 @@
     where
         Choice: Fn(UpstreamTag) -> bool,
     {
-        let mut state = hold(&self.state);
+        let mut state = lock_ignoring_poison(&self.state);
         state.counts.retain(|tag, _| known(*tag));
         state.leaves.retain(|tag, _| known(*tag));
     }
@@ -159,6 +159,6 @@
             failure_share: counts.failure_share(now),
             outcomes: counts.faded(now).total(),
         };
-        Logbook::of_process().record("upstream-doubt", &line);
+        Logbook::global().record("upstream-doubt", &line);
     }
 }
--- a/crates/samphiregrade-gateway/src/upstream/outcomes.rs
+++ b/crates/samphiregrade-gateway/src/upstream/outcomes.rs
@@ -58,9 +58,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
     /// As it should.
-    Good,
+    Success,
     /// The upstream failed, broke off, or said nothing.
-    Bad,
+    Failure,
     /// A probe of a doubted upstream ended as it should.
     Recovered,
 }
@@ -84,8 +84,8 @@
     pub fn of(upstream: UpstreamTag, outcome: Outcome) -> Self {
         Self {
             upstream,
-            good: u16::from(outcome != Outcome::Bad),
-            bad: u16::from(outcome == Outcome::Bad),
+            good: u16::from(outcome != Outcome::Failure),
+            bad: u16::from(outcome == Outcome::Failure),
             recovered: u16::from(outcome == Outcome::Recovered),
         }
     }
--- a/crates/samphiregrade-gateway/src/upstream/peer.rs
+++ b/crates/samphiregrade-gateway/src/upstream/peer.rs
@@ -10,11 +10,11 @@
 use super::balance::{Candidate, LoadView};
 use super::breaker::{BreakerState, UpstreamBreaker};
 use super::cache::PrefixCache;
-use super::outcome_board::OutcomeBoard;
+use super::outcome_board::OutcomeTracker;
 use super::outcomes::Outcome;
 use super::silence::{SilenceWatch, WaitNumber};
-use crate::hold::hold;
-use crate::model::{DomainId, PromptPart, ReportedLoad, UpstreamEntry, UpstreamTag, name_tag};
+use crate::hold::lock_ignoring_poison;
+use crate::model::{DomainId, PromptPart, ReportedLoad, UpstreamRecord, UpstreamTag, name_tag};
 
 /// Age at which a reported load counts half: requests last some hundreds of milliseconds.
 const LOAD_HALF_LIFE: Duration = Duration::from_millis(250);
@@ -31,7 +31,7 @@
 /// Penalty of an upstream that still warms up.
 const COLD_PENALTY: Duration = Duration::from_millis(30);
 
-/// Penalty of an upstream whose entry has just gone: used only where no other is there.
+/// Penalty of an upstream whose record has just gone: used only where no other is there.
 const DEPARTED_PENALTY: Duration = Duration::from_secs(10);
 
 /// Longest wait for a connection to an upstream: dozens of round trips within a region. A packet that is lost
@@ -61,8 +61,8 @@
 
 /// An upstream.
 pub struct Upstream {
-    /// Its entry, as it was first seen.
-    pub entry: UpstreamEntry,
+    /// Its record, as it was first seen.
+    pub record: UpstreamRecord,
     /// Hash of its address, the same on every instance and over restarts.
     pub tag: u64,
     /// Hash of this start of it.
@@ -85,15 +85,15 @@
 impl Upstream {
     /// Starts to keep track of an upstream.
     #[must_use]
-    pub fn new(entry: UpstreamEntry, domain_silence: Arc<DomainSilence>, now: Instant) -> Self {
+    pub fn new(record: UpstreamRecord, domain_silence: Arc<DomainSilence>, now: Instant) -> Self {
         Self {
-            cold_until: now + entry.cold,
-            tag: name_tag(&entry.address.to_string()),
+            cold_until: now + record.cold,
+            tag: name_tag(&record.address.to_string()),
             start_tag: name_tag(&format!(
                 "{}/{:?}/{}",
-                entry.id, entry.started, entry.address
+                record.id, record.started, record.address
             )),
-            entry,
+            record,
             draining: AtomicBool::new(false),
             departed: AtomicBool::new(false),
             in_flight: AtomicU32::new(0),
@@ -111,7 +111,7 @@
         self.draining.store(draining, Ordering::Relaxed);
     }
 
-    /// Notes whether its entry is gone.
+    /// Notes whether its record is gone.
     pub fn set_departed(&self, departed: bool) {
         self.departed.store(departed, Ordering::Relaxed);
     }
@@ -124,8 +124,8 @@
 
     /// Returns whether its breaker lets requests through.
     #[must_use]
-    pub fn is_trusted(&self, now: Instant) -> bool {
-        hold(&self.breaker).state(now) == BreakerState::Closed
+    pub fn is_breaker_closed(&self, now: Instant) -> bool {
+        lock_ignoring_poison(&self.breaker).state(now) == BreakerState::Closed
     }
 
     /// Describes it as a choice for a request; `load` is what it is believed to have, and `home` tells whether it is a
@@ -142,7 +142,7 @@
         let uncached_tokens = if prompt.is_empty() {
             0
         } else {
-            hold(&self.cache).uncached(prompt, home, now)
+            lock_ignoring_poison(&self.cache).uncached(prompt, home, now)
         };
         let departed = self.departed.load(Ordering::Relaxed);
         let penalty = match () {
@@ -150,14 +150,14 @@
             () if now < self.cold_until => COLD_PENALTY,
             () => Duration::ZERO,
         };
-        let silence = hold(&self.silence).penalty(now);
-        let silence = silence.max(hold(&self.domain_silence).penalty(now));
+        let silence = lock_ignoring_poison(&self.silence).penalty(now);
+        let silence = silence.max(lock_ignoring_poison(&self.domain_silence).penalty(now));
         let penalty = penalty + silence;
         Candidate {
             load,
-            slots: f64::from(self.entry.slots),
+            slots: f64::from(self.record.slots),
             uncached_tokens,
-            elsewhere: self.entry.domain != *domain,
+            elsewhere: self.record.domain != *domain,
             connected: self.has_idle(now),
             penalty,
         }
@@ -180,7 +180,7 @@
     #[must_use]
     pub fn load_view(&self, now: Instant) -> LoadView {
         let own = f64::from(self.own_requests());
-        let Some(report) = *hold(&self.report) else {
+        let Some(report) = *lock_ignoring_poison(&self.report) else {
             return LoadView {
                 own,
                 ..LoadView::default()
@@ -206,37 +206,37 @@
 
     /// Notes that a request was sent whose answer should begin at once; the guard ends the wait.
     #[must_use]
-    pub fn await_head(self: &Arc<Self>, outcomes: Arc<OutcomeBoard>, now: Instant) -> HeadWait {
+    pub fn await_head(self: &Arc<Self>, outcomes: Arc<OutcomeTracker>, now: Instant) -> HeadWait {
         HeadWait {
             outcomes,
-            number: hold(&self.silence).begin(now),
-            domain_number: hold(&self.domain_silence).begin(now),
+            number: lock_ignoring_poison(&self.silence).begin(now),
+            domain_number: lock_ignoring_poison(&self.domain_silence).begin(now),
             upstream: self.clone(),
         }
     }
 
     /// Notes that the upstream has said something.
-    pub fn hear(&self, now: Instant) {
-        hold(&self.silence).hear(now);
-        self.hear_domain(now);
+    pub fn record_response(&self, now: Instant) {
+        lock_ignoring_poison(&self.silence).record_response(now);
+        self.record_domain_response(now);
     }
 
     /// Notes that there is a way to the upstream's failure domain.
-    pub fn hear_domain(&self, now: Instant) {
-        hold(&self.domain_silence).hear(now);
+    pub fn record_domain_response(&self, now: Instant) {
+        lock_ignoring_poison(&self.domain_silence).record_response(now);
     }
 
     /// Notes that the way to the upstream's failure domain is cut, as far as can be told from here.
-    pub fn lose_domain(&self, now: Instant) {
-        hold(&self.domain_silence).lose(now);
+    pub fn mark_domain_unreachable(&self, now: Instant) {
+        lock_ignoring_poison(&self.domain_silence).lose(now);
     }
 
     /// Ends when an answer that has been silent for a time can't go on, because the way to its upstream was found to be
     /// cut. Silence alone is no reason: an engine may put a run aside for as long.
-    pub async fn lost_for(&self, silent: Duration) {
+    pub async fn wait_until_unreachable(&self, silent: Duration) {
         loop {
             tokio::time::sleep(silent).await;
-            if self.is_domain_lost(Instant::now()) {
+            if self.is_domain_unreachable(Instant::now()) {
                 return;
             }
         }
@@ -244,46 +244,46 @@
 
     /// Returns whether anything was heard from its failure domain within a time.
     #[must_use]
-    pub fn was_domain_heard_within(&self, time: Duration, now: Instant) -> bool {
-        hold(&self.domain_silence).was_heard_within(time, now)
+    pub fn domain_responded_within(&self, time: Duration, now: Instant) -> bool {
+        lock_ignoring_poison(&self.domain_silence).was_heard_within(time, now)
     }
 
     /// Returns whether the way to its failure domain was found to be cut.
     #[must_use]
-    pub fn is_domain_lost(&self, now: Instant) -> bool {
-        hold(&self.domain_silence).is_lost(now)
+    pub fn is_domain_unreachable(&self, now: Instant) -> bool {
+        lock_ignoring_poison(&self.domain_silence).is_lost(now)
     }
 
     /// Returns whether its failure domain has been silent for so long that an answer that has been waited for since
     /// then can't be expected any more.
     #[must_use]
-    pub fn is_out_of_reach(&self, waited_since: Instant, now: Instant) -> bool {
-        hold(&self.domain_silence).is_out_of_reach(waited_since, now)
+    pub fn is_overdue(&self, waited_since: Instant, now: Instant) -> bool {
+        lock_ignoring_poison(&self.domain_silence).is_overdue(waited_since, now)
     }
 
     /// Notes the load that an answer told.
     pub fn note_load(&self, load: ReportedLoad, now: Instant) {
         let own = self.in_flight.load(Ordering::Relaxed);
-        *hold(&self.report) = Some(LoadReport { load, own, at: now });
+        *lock_ignoring_poison(&self.report) = Some(LoadReport { load, own, at: now });
     }
 
     /// Notes that the engine has read a prompt.
     pub fn note_prompt(&self, prompt: &[PromptPart], capacity: u64, now: Instant) {
         if !prompt.is_empty() {
-            hold(&self.cache).note(prompt, capacity, now);
+            lock_ignoring_poison(&self.cache).note(prompt, capacity, now);
         }
     }
 
     /// Notes an answer; returns whether its breaker closed.
-    pub fn succeed(&self) -> bool {
-        hold(&self.breaker).succeed()
+    pub fn record_success(&self) -> bool {
+        lock_ignoring_poison(&self.breaker).record_success()
     }
 
     /// Notes a failure; returns whether its breaker opened.
-    pub fn fail(&self, now: Instant, certain: bool) -> bool {
-        let opened = hold(&self.breaker).fail(now, certain);
+    pub fn record_failure(&self, now: Instant, certain: bool) -> bool {
+        let opened = lock_ignoring_poison(&self.breaker).record_failure(now, certain);
         if opened {
-            hold(&self.idle).clear();
+            lock_ignoring_poison(&self.idle).clear();
         }
         opened
     }
@@ -298,8 +298,8 @@
             Err(error) if error.kind() == io::ErrorKind::TimedOut => PathProbe::Silent,
             Err(error) => {
                 // Who refuses a connection has been reached.
-                log::debug!("upstream {}: {error}", self.entry.id);
-                self.hear_domain(Instant::now());
+                log::debug!("upstream {}: {error}", self.record.id);
+                self.record_domain_response(Instant::now());
                 PathProbe::Answered
             }
         }
@@ -312,19 +312,21 @@
     /// The system's error, or a timeout.
     pub async fn connect(&self) -> io::Result<WireSocket> {
         let limits = SocketLimits::for_requests();
-        let socket = WireSocket::connect(self.entry.address, CONNECT_TIMEOUT, &limits).await?;
-        self.hear_domain(Instant::now());
+        let socket = WireSocket::connect(self.record.address, CONNECT_TIMEOUT, &limits).await?;
+        self.record_domain_response(Instant::now());
         Ok(socket)
     }
 
     /// Returns whether a connection is idle that a request may take.
     fn has_idle(&self, now: Instant) -> bool {
-        hold(&self.idle).iter().any(|kept| now < kept.expires)
+        lock_ignoring_poison(&self.idle)
+            .iter()
+            .any(|kept| now < kept.expires)
     }
 
     /// Takes an idle connection that is fit for a request.
     pub fn take_idle(&self, now: Instant) -> Option<WireSocket> {
-        let mut idle = hold(&self.idle);
+        let mut idle = lock_ignoring_poison(&self.idle);
         while let Some(mut kept) = idle.pop() {
             if now < kept.expires && kept.socket.is_quiet() {
                 return Some(kept.socket);
@@ -336,7 +338,7 @@
     /// Keeps a connection for a later request.
     pub fn keep_idle(&self, socket: WireSocket, stated: Option<Duration>, now: Instant) {
         let allowed = stated.map_or(UNSTATED_IDLE, |stated| stated.mul_f64(IDLE_MARGIN));
-        let mut idle = hold(&self.idle);
+        let mut idle = lock_ignoring_poison(&self.idle);
         idle.retain(|kept| now < kept.expires);
         idle.push(IdleSocket {
             socket,
@@ -346,7 +348,8 @@
 
     /// Drops connections that have been idle for too long.
     pub fn sweep_idle(&self, now: Instant) {
-        hold(&self.idle).retain_mut(|kept| now < kept.expires && kept.socket.is_quiet());
+        lock_ignoring_poison(&self.idle)
+            .retain_mut(|kept| now < kept.expires && kept.socket.is_quiet());
     }
 }
 
@@ -371,7 +374,7 @@
 
 /// A request that waits for its answer's head. Dropped after a long silence, it counts as a failure.
 pub struct HeadWait {
-    outcomes: Arc<OutcomeBoard>,
+    outcomes: Arc<OutcomeTracker>,
     upstream: Arc<Upstream>,
     number: WaitNumber,
     domain_number: WaitNumber,
@@ -380,16 +383,16 @@
 impl Drop for HeadWait {
     fn drop(&mut self) {
         let now = Instant::now();
-        hold(&self.upstream.domain_silence).end(self.domain_number, now);
-        let failing = hold(&self.upstream.silence).end(self.number, now);
-        if failing && !self.upstream.is_domain_lost(now) {
+        lock_ignoring_poison(&self.upstream.domain_silence).end(self.domain_number, now);
+        let failing = lock_ignoring_poison(&self.upstream.silence).end(self.number, now);
+        if failing && !self.upstream.is_domain_unreachable(now) {
             let upstream = self.upstream.start_tag;
-            self.outcomes.note(upstream, Outcome::Bad, now);
+            self.outcomes.note(upstream, Outcome::Failure, now);
         }
-        if failing && self.upstream.fail(now, true) {
+        if failing && self.upstream.record_failure(now, true) {
             log::info!(
                 "upstream {} is left alone for a while: it has said nothing for too long",
-                self.upstream.entry.id
+                self.upstream.record.id
             );
         }
     }
--- a/crates/samphiregrade-gateway/src/upstream/rank.rs
+++ b/crates/samphiregrade-gateway/src/upstream/rank.rs
@@ -55,7 +55,7 @@
     /// Time of a whole turn.
     pub turn: Duration,
     /// Time until its answer begins.
-    pub first: Duration,
+    pub time_to_head: Duration,
     /// Time of one token.
     pub token: Duration,
 }
@@ -63,8 +63,8 @@
 impl From<&ServiceTimes> for TurnPace {
     fn from(times: &ServiceTimes) -> Self {
         Self {
-            turn: times.hold(),
-            first: times.first(),
+            turn: times.slot_time(),
+            time_to_head: times.time_to_head(),
             token: times.token(),
         }
     }
@@ -76,20 +76,20 @@
     /// Hash of the program, the same everywhere.
     pub tag: u8,
     /// Turns that have ended.
-    pub ended_turns: u32,
+    pub completed_turns: u32,
     /// Tokens that these have made.
-    pub made_tokens: u64,
+    pub generated_tokens: u64,
     /// Time that the program had left when its first turn came, where that is known.
-    pub first_left: Option<Duration>,
+    pub initial_time_left: Option<Duration>,
     /// Time that it has left now, where its caller says so.
-    pub left: Option<Duration>,
+    pub time_left: Option<Duration>,
 }
 
 impl ProgramProgress {
     /// Returns whether a turn of the program has ended.
     #[must_use]
     pub fn has_begun(&self) -> bool {
-        self.ended_turns > 0
+        self.completed_turns > 0
     }
 
     /// Returns the part of the programs that the program belongs to, from 0.
@@ -101,20 +101,22 @@
     /// Returns whether the program can't end in time any more.
     #[must_use]
     pub fn is_late(&self, pace: &TurnPace) -> bool {
-        let Some(left) = self.left else {
+        let Some(left) = self.time_left else {
             return false;
         };
         if left < pace.turn {
             return true;
         }
-        let Some(first_left) = self.first_left else {
+        let Some(initial_time_left) = self.initial_time_left else {
             return false;
         };
-        let tokens = u32::try_from(self.made_tokens).unwrap_or(u32::MAX);
-        let aside = TURN_ASIDE + pace.first;
-        let worked = aside.saturating_mul(self.ended_turns) + pace.token.saturating_mul(tokens);
-        let lost = first_left.saturating_sub(left).saturating_sub(worked);
-        lost > first_left.mul_f64(SPARE_SHARE)
+        let tokens = u32::try_from(self.generated_tokens).unwrap_or(u32::MAX);
+        let aside = TURN_ASIDE + pace.time_to_head;
+        let worked = aside.saturating_mul(self.completed_turns) + pace.token.saturating_mul(tokens);
+        let lost = initial_time_left
+            .saturating_sub(left)
+            .saturating_sub(worked);
+        lost > initial_time_left.mul_f64(SPARE_SHARE)
     }
 }
 
--- a/crates/samphiregrade-gateway/src/upstream/run_table.rs
+++ b/crates/samphiregrade-gateway/src/upstream/run_table.rs
@@ -63,7 +63,7 @@
 
 /// What an entry asks before it places a request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct AccountQuestion {
+pub struct AccountQuery {
     /// The service.
     pub service: ServiceName,
     /// Upstreams that matter most.
@@ -153,7 +153,7 @@
     }
 
     /// Tells how the upstreams stand that are asked for, and some others of the service that have room.
-    pub fn answer(&mut self, question: &AccountQuestion, now: Instant) -> Vec<UpstreamAccount> {
+    pub fn answer(&mut self, question: &AccountQuery, now: Instant) -> Vec<UpstreamAccount> {
         let mut accounts = Vec::with_capacity(question.upstreams.len() + OTHERS_TOLD);
         for &tag in &question.upstreams {
             accounts.push(self.account(tag, &question.prompt, now));
@@ -190,7 +190,7 @@
         }
     }
 
-    fn others_with_room(&mut self, question: &AccountQuestion, now: Instant) -> Vec<UpstreamTag> {
+    fn others_with_room(&mut self, question: &AccountQuery, now: Instant) -> Vec<UpstreamTag> {
         let mut others = Vec::new();
         for (&tag, runs) in &mut self.upstreams {
             let fresh = now.saturating_duration_since(runs.used) < OTHERS_FRESH;
--- a/crates/samphiregrade-gateway/src/upstream/service_times.rs
+++ b/crates/samphiregrade-gateway/src/upstream/service_times.rs
@@ -72,9 +72,9 @@
     /// Tokens that the engine had to read.
     pub uncached: u32,
     /// Tokens that it made.
-    pub made: u32,
+    pub generated_tokens: u32,
     /// Time from sending to the head of the answer.
-    pub first: Duration,
+    pub time_to_head: Duration,
     /// Time from sending to the end of the answer.
     pub total: Duration,
 }
@@ -119,7 +119,7 @@
 
     /// Takes how a request went.
     pub fn note(&mut self, answered: &AnsweredRequest) {
-        let first = milliseconds(answered.first);
+        let first = milliseconds(answered.time_to_head);
         let total = milliseconds(answered.total);
         self.hold.add(total);
         self.first.add(first);
@@ -130,26 +130,27 @@
         if answered.uncached >= LONG_PROMPT && read > 0.0 {
             self.reading.add(f64::from(answered.uncached) / read);
         }
-        if answered.made > 0 {
-            self.token.add((total - first) / f64::from(answered.made));
+        if answered.generated_tokens > 0 {
+            self.token
+                .add((total - first) / f64::from(answered.generated_tokens));
         }
     }
 
     /// Returns how long a request holds a slot.
     #[must_use]
-    pub fn hold(&self) -> Duration {
+    pub fn slot_time(&self) -> Duration {
         span(self.hold.estimate())
     }
 
     /// Returns how long an answer takes to begin.
     #[must_use]
-    pub fn first(&self) -> Duration {
+    pub fn time_to_head(&self) -> Duration {
         span(self.first.estimate())
     }
 
     /// Returns the prompt tokens that are read in a millisecond.
     #[must_use]
-    pub fn reading_rate(&self) -> f64 {
+    pub fn prefill_rate(&self) -> f64 {
         self.reading.estimate()
     }
 
--- a/crates/samphiregrade-gateway/src/upstream/silence.rs
+++ b/crates/samphiregrade-gateway/src/upstream/silence.rs
@@ -60,7 +60,7 @@
     }
 
     /// Notes that the upstream has said something.
-    pub fn hear(&mut self, now: Instant) {
+    pub fn record_response(&mut self, now: Instant) {
         self.heard = Some(now);
         self.lost = None;
     }
@@ -98,7 +98,7 @@
 
     /// Returns whether an answer that has been waited for since then can't be expected any more.
     #[must_use]
-    pub fn is_out_of_reach(&self, waited_since: Instant, now: Instant) -> bool {
+    pub fn is_overdue(&self, waited_since: Instant, now: Instant) -> bool {
         let waited = now.saturating_duration_since(waited_since);
         waited.min(self.silence(now)) >= OUT_OF_REACH
     }
