--- a/crates/samphiregrade-gateway/tests/suite/access.rs
+++ b/crates/samphiregrade-gateway/tests/suite/access.rs
@@ -128,22 +128,25 @@
     assert_ne!(scoped("k1", "ab"), scoped("k2", "b"));
     assert_ne!(scoped("k1", "x"), scoped("k2", "x"));
     // One who needs no key can't name an organisation's turn.
-    assert_ne!(CallerIdentity::Open.scoped_id("1:ax"), scoped("k1", "x"));
-    assert_eq!(CallerIdentity::Unasked.scoped_id("x"), "x");
+    assert_ne!(
+        CallerIdentity::Anonymous.scoped_id("1:ax"),
+        scoped("k1", "x")
+    );
+    assert_eq!(CallerIdentity::KeyNotRequired.scoped_id("x"), "x");
 }
 
 #[test]
 fn nothing_is_served_before_it_is_proved() {
     let freshness = strict();
-    assert!(!freshness.vouches(at(1)));
-    assert!(!freshness.may_deny(at(1)));
+    assert!(!freshness.permits_known_keys(at(1)));
+    assert!(!freshness.permits_denial(at(1)));
     freshness.prove(at(1000));
-    assert!(freshness.vouches(at(1000)));
-    assert!(freshness.vouches(at(5500)));
-    assert!(!freshness.vouches(at(6000)));
+    assert!(freshness.permits_known_keys(at(1000)));
+    assert!(freshness.permits_known_keys(at(5500)));
+    assert!(!freshness.permits_known_keys(at(6000)));
     // An older proof takes nothing back.
     freshness.prove(at(500));
-    assert!(freshness.vouches(at(5500)));
+    assert!(freshness.permits_known_keys(at(5500)));
 }
 
 #[test]
@@ -151,7 +154,7 @@
     let freshness = strict();
     freshness.prove(at(10_000));
     // The clock has gone on while the machine stood still.
-    assert!(!freshness.vouches(at(10_000 + 60_000)));
+    assert!(!freshness.permits_known_keys(at(10_000 + 60_000)));
 }
 
 #[test]
@@ -160,21 +163,21 @@
     freshness.prove(at(1000));
     freshness.set_readable(false);
     freshness.prove(at(9000));
-    assert!(!freshness.vouches(at(9001)));
+    assert!(!freshness.permits_known_keys(at(9001)));
     freshness.set_readable(true);
     freshness.prove(at(9500));
-    assert!(freshness.vouches(at(9501)));
+    assert!(freshness.permits_known_keys(at(9501)));
 }
 
 #[test]
 fn known_keys_are_served_for_ever_where_the_bound_is_not_strict() {
     let freshness = KeyFreshness::new(FreshnessRule { strict: None });
-    assert!(freshness.vouches(at(1)));
+    assert!(freshness.permits_known_keys(at(1)));
     // One that isn't known may have come since.
-    assert!(!freshness.may_deny(at(1)));
+    assert!(!freshness.permits_denial(at(1)));
     freshness.prove(at(1000));
-    assert!(freshness.may_deny(at(2000)));
-    assert!(!freshness.may_deny(at(100_000)));
+    assert!(freshness.permits_denial(at(2000)));
+    assert!(!freshness.permits_denial(at(100_000)));
 }
 
 #[test]
@@ -218,7 +221,7 @@
     ));
     assert!(matches!(
         identity(&open, CallerCredential::Absent),
-        Some(CallerIdentity::Open)
+        Some(CallerIdentity::Anonymous)
     ));
     assert!(matches!(
         identity(&open, credential("k1")),
@@ -227,7 +230,7 @@
     let unasked = table_with(None);
     assert!(matches!(
         unasked.identify(&closed, &CallerCredential::Unusable),
-        Some(CallerIdentity::Unasked)
+        Some(CallerIdentity::KeyNotRequired)
     ));
     let nobody = table_with(Some(Vec::new()));
     assert!(nobody.identify(&closed, &credential("k1")).is_none());
@@ -277,7 +280,7 @@
             }
             _ => {}
         }
-        let served = !knows && freshness.vouches(at(now));
+        let served = !knows && freshness.permits_known_keys(at(now));
         let late = withdrawn.is_some_and(|since| now > since + 5000);
         if served && late {
             return false;
--- a/crates/samphiregrade-gateway/tests/suite/balance.rs
+++ b/crates/samphiregrade-gateway/tests/suite/balance.rs
@@ -6,19 +6,19 @@
 use rand::rngs::StdRng;
 use samphiregrade_gateway::model::PromptPart;
 use samphiregrade_gateway::upstream::{
-    BreakerState, Candidate, FirstParts, LoadView, PrefixCache, SharedPart, UpstreamBreaker,
-    WorkEstimate, believed_loads, choose_upstream, ranked_homes,
+    BreakerState, Candidate, LoadView, PrefixCache, PrefixShares, SharedPrefix, UpstreamBreaker,
+    WorkEstimate, choose_upstream, estimate_loads, rank_homes,
 };
 
 const TURN: WorkEstimate = WorkEstimate {
-    hold_milliseconds: 220.0,
-    reading_rate: 247.0,
+    slot_milliseconds: 220.0,
+    prefill_rate: 247.0,
     on_engine: true,
 };
 
 const PLAIN: WorkEstimate = WorkEstimate {
-    hold_milliseconds: 18.0,
-    reading_rate: 247.0,
+    slot_milliseconds: 18.0,
+    prefill_rate: 247.0,
     on_engine: false,
 };
 
@@ -128,10 +128,10 @@
         ..LoadView::default()
     };
     let unknown = LoadView::default();
-    let loads = believed_loads(&[fresh, faded, unknown]);
+    let loads = estimate_loads(&[fresh, faded, unknown]);
     assert_eq!(loads, [4.0, 3.0, 3.0]);
     // With nothing known of any, only the own requests count.
-    assert_eq!(believed_loads(&[unknown, faded]), [0.0, 0.0]);
+    assert_eq!(estimate_loads(&[unknown, faded]), [0.0, 0.0]);
 }
 
 #[test]
@@ -176,13 +176,13 @@
 
 /// Marks the homes of a part of which one engine's memory holds five.
 fn homes_of(share: f64, engines: &[u64]) -> Vec<bool> {
-    let part = SharedPart {
+    let part = SharedPrefix {
         tag: 7,
         tokens: 10_000,
         share,
         capacity: 50_000,
     };
-    let ranking = ranked_homes(&part, engines);
+    let ranking = rank_homes(&part, engines);
     let is_home = |index: usize| ranking.homes().contains(&index);
     (0..engines.len()).map(is_home).collect()
 }
@@ -190,25 +190,25 @@
 #[test]
 fn homes_are_more_where_memory_allows() {
     let engines: Vec<u64> = (0..40).collect();
-    let part = SharedPart {
+    let part = SharedPrefix {
         tag: 7,
         tokens: 10_000,
         share: 0.1,
         capacity: 100_000,
     };
-    assert_eq!(ranked_homes(&part, &engines).count, 12);
-    let roomy = SharedPart {
+    assert_eq!(rank_homes(&part, &engines).count, 12);
+    let roomy = SharedPrefix {
         capacity: 1_000_000,
         ..part
     };
-    assert_eq!(ranked_homes(&roomy, &engines).count, 18);
+    assert_eq!(rank_homes(&roomy, &engines).count, 18);
 }
 
 #[test]
 fn drawn_homes_come_with_the_same_spare_engines() {
     let engines: Vec<u64> = (0..40).collect();
-    let homes = ranked_homes(
-        &SharedPart {
+    let homes = rank_homes(
+        &SharedPrefix {
             tag: 7,
             tokens: 10_000,
             share: 0.5,
@@ -262,7 +262,7 @@
 #[test]
 fn shares_of_first_parts_follow_the_traffic() {
     let start = Instant::now();
-    let parts = FirstParts::default();
+    let parts = PrefixShares::default();
     for index in 0..100_u64 {
         parts.count(index % 4, start);
     }
@@ -290,17 +290,17 @@
 fn breaker_opens_after_failures_in_a_row_and_tries_again() {
     let now = Instant::now();
     let mut breaker = UpstreamBreaker::default();
-    assert!(!breaker.fail(now, false));
-    assert!(!breaker.fail(now, false));
-    assert!(breaker.fail(now, false));
+    assert!(!breaker.record_failure(now, false));
+    assert!(!breaker.record_failure(now, false));
+    assert!(breaker.record_failure(now, false));
     assert_eq!(breaker.state(now), BreakerState::Open);
     let later = now + Duration::from_secs(1);
     assert_eq!(breaker.state(later), BreakerState::Closed);
     assert!(
-        breaker.fail(later, false),
+        breaker.record_failure(later, false),
         "one failure opens a breaker that is tried again"
     );
-    assert!(breaker.succeed());
+    assert!(breaker.record_success());
     assert_eq!(breaker.state(later), BreakerState::Closed);
 }
 
@@ -308,7 +308,7 @@
 fn breaker_opens_at_once_where_nobody_listens() {
     let now = Instant::now();
     let mut breaker = UpstreamBreaker::default();
-    assert!(breaker.fail(now, true));
+    assert!(breaker.record_failure(now, true));
     assert_eq!(breaker.state(now), BreakerState::Open);
 }
 
--- a/crates/samphiregrade-gateway/tests/suite/facts.rs
+++ b/crates/samphiregrade-gateway/tests/suite/facts.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use quickcheck::quickcheck;
 use samphiregrade_gateway::fact::{
-    ExportRequest, FactBook, FactPart, FactRecord, FrameLocation, KeeperPlacement, KeeperSlot,
+    ExportRequest, FactIndex, FactPart, FactRecord, FrameLocation, KeeperPlacement, KeeperSlot,
     KnownChain, ProgramLedger, Reservation, TurnContent, TurnFact, TurnPlace,
 };
 
@@ -25,7 +25,7 @@
 }
 
 /// Returns one part of all facts.
-pub fn export_all(book: &FactBook, part: u8) -> FactPart {
+pub fn export_all(book: &FactIndex, part: u8) -> FactPart {
     let request = ExportRequest {
         part,
         ..ExportRequest::default()
@@ -91,7 +91,7 @@
 
     fn chain_joins_inputs_and_outputs_from_the_oldest(parts: Vec<(Vec<u8>, Vec<u8>)>) -> bool {
         let now = Instant::now();
-        let mut book = FactBook::default();
+        let mut book = FactIndex::default();
         let mut expected = Vec::new();
         for (index, (input, output)) in parts.iter().enumerate() {
             let previous = index.checked_sub(1).map(|index| index.to_string());
@@ -108,13 +108,13 @@
 
     fn export_brings_the_same_facts(inputs: Vec<Vec<u8>>) -> bool {
         let now = Instant::now();
-        let mut book = FactBook::default();
+        let mut book = FactIndex::default();
         let shared = vec![7; 5000];
         for (index, input) in inputs.iter().enumerate() {
             let input = [&shared[..], input].concat();
             book.take(&turn(&index.to_string(), None, &input, b"out\n"), now);
         }
-        let mut copy = FactBook::default();
+        let mut copy = FactIndex::default();
         for part in 0..=u8::MAX {
             for fact in export_all(&book, part).facts {
                 copy.take(&fact, now);
@@ -130,7 +130,7 @@
 #[test]
 fn content_leaves_memory_once_it_is_on_disk() {
     let now = Instant::now();
-    let mut book = FactBook::default();
+    let mut book = FactIndex::default();
     let fact = turn("a", None, b"in", b"out");
     book.take(&fact, now);
     let location = FrameLocation {
@@ -149,7 +149,7 @@
 #[test]
 fn used_chain_is_kept_and_others_expire() {
     let start = Instant::now();
-    let mut book = FactBook::default();
+    let mut book = FactIndex::default();
     book.take(&turn("a", None, b"1", b"2"), start);
     book.take(&turn("b", Some("a"), b"3", b"4"), start);
     book.take(&turn("x", None, b"5", b"6"), start);
@@ -191,7 +191,7 @@
 #[test]
 fn export_leaves_out_what_is_known_and_what_the_slot_need_not_have() {
     let now = Instant::now();
-    let mut book = FactBook::default();
+    let mut book = FactIndex::default();
     for index in 0..40 {
         let mut fact = turn(&format!("t{index}"), None, b"in", b"out");
         if let FactRecord::Turn(turn) = &mut fact {
--- a/crates/samphiregrade-gateway/tests/suite/helpers.rs
+++ b/crates/samphiregrade-gateway/tests/suite/helpers.rs
@@ -6,8 +6,8 @@
 
 use arc_swap::ArcSwap;
 use samphiregrade_gateway::fact::{
-    FactFailure, FollowerTable, HelperAddress, HelperBook, HelperReply, HelperRequest,
-    HelperService, KeeperClient, KeeperEnvelope, KeeperPlacement, KeeperRequest, ReserveOutcome,
+    FactFailure, FollowerTable, HelperAddress, HelperReply, HelperRequest, HelperService,
+    HelperTable, KeeperClient, KeeperEnvelope, KeeperPlacement, KeeperRequest, ReserveOutcome,
 };
 use samphiregrade_gateway::observe::GatewayMetrics;
 use tokio::task::JoinHandle;
@@ -112,7 +112,7 @@
     assert!(client.uses_helpers());
     // What was reserved through the helper is what every other client knows.
     let other = deployment.client("b");
-    let Ok(ReserveOutcome::Held(ledger)) = reserve(&other, "t2").await else {
+    let Ok(ReserveOutcome::Reserved(ledger)) = reserve(&other, "t2").await else {
         panic!("the budget holds both turns");
     };
     assert_eq!(ledger.reservations.len(), 2);
@@ -167,7 +167,7 @@
     let client = cut_client(&deployment).await;
     client.note_helper(helper);
     expect_cut_off(&client).await;
-    assert_eq!(reserve(&client, "t1").await, Err(FactFailure::TooFew));
+    assert_eq!(reserve(&client, "t1").await, Err(FactFailure::NoMajority));
     assert!(!client.uses_helpers());
 }
 
@@ -211,7 +211,7 @@
 
 #[test]
 fn helpers_are_asked_in_turn_and_few_at_a_time() {
-    let book = HelperBook::default();
+    let book = HelperTable::default();
     let helpers: Vec<HelperAddress> = (0..40)
         .map(|number| address(&format!("h{number}"), ([127, 0, 0, 1], 1).into()))
         .collect();
--- a/crates/samphiregrade-gateway/tests/suite/hot_organisation.rs
+++ b/crates/samphiregrade-gateway/tests/suite/hot_organisation.rs
@@ -13,7 +13,7 @@
 const WINDOW: Duration = Duration::from_secs(5);
 const RULE: LimitRule = LimitRule {
     window: WINDOW,
-    alone: Duration::from_secs(30),
+    standalone_period: Duration::from_secs(30),
 };
 const STEP: Duration = Duration::from_millis(50);
 const PLAYED: Duration = Duration::from_secs(40);
@@ -74,14 +74,14 @@
                 instance: entry as u64 + 1,
                 life: entry as u64 + 1000,
                 rule: RULE,
-                ahead: true,
+                prefetch: true,
             };
             let limit = WindowLimit {
                 version: 1,
                 requests: LIMIT,
             };
             allowance.begin_waiting();
-            let ask = allowance.ask(organisation as u64, &source, limit, begins, now);
+            let ask = allowance.compose_request(organisation as u64, &source, limit, begins, now);
             let grant = self.ledger.answer(&ask, self.now);
             allowance.accept(&grant, now, now);
             allowance.end_waiting();
--- a/crates/samphiregrade-gateway/tests/suite/keepers.rs
+++ b/crates/samphiregrade-gateway/tests/suite/keepers.rs
@@ -17,7 +17,7 @@
 use samphiregrade_gateway::link::LinkEndpoint;
 use samphiregrade_gateway::observe::GatewayMetrics;
 use samphiregrade_gateway::store::FollowEvent;
-use samphiregrade_gateway::upstream::{AccountQuestion, RunEnd, RunStart};
+use samphiregrade_gateway::upstream::{AccountQuery, RunEnd, RunStart};
 use tempfile::TempDir;
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
@@ -179,7 +179,7 @@
     deployment.keepers[0].service.set_complete(false).await;
     deployment.keepers[1].service.set_complete(false).await;
     let unsure = client.chain(&"p".into(), &"none".into()).await;
-    assert_eq!(unsure, Err(FactFailure::TooFew));
+    assert_eq!(unsure, Err(FactFailure::NoMajority));
 }
 
 #[tokio::test]
@@ -200,7 +200,7 @@
     };
     assert!(matches!(
         reserve("t2", 40).await,
-        Ok(ReserveOutcome::Held(_))
+        Ok(ReserveOutcome::Reserved(_))
     ));
     assert!(matches!(
         reserve("t3", 1).await,
@@ -216,7 +216,7 @@
     let wiped = start_keeper(&deployment.authority, "a", false).await;
     deployment.placement = deployment
         .placement
-        .with_occupant(0, "a", wiped.slot.address);
+        .with_slot_holder(0, "a", wiped.slot.address);
     deployment.keepers[0] = wiped;
     for keeper in &deployment.keepers {
         keeper
@@ -248,7 +248,7 @@
     let client = deployment.client("a");
     let learn = |revision: u64| {
         let page = StorePage {
-            at: revision,
+            revision,
             ..StorePage::default()
         };
         let mirror = deployment.keepers[0].service.mirror();
@@ -258,15 +258,12 @@
     let program = "p".into();
     let stored = client.store(&program, turn("t1", None, b"in", b"out"));
     stored.await.expect("a stored turn");
-    eventually("a stored fact tells", async || {
-        client.news().newest().0 == 3
-    })
-    .await;
+    eventually("a stored fact tells", async || client.lag().newest().0 == 3).await;
     learn(5);
     let chain = client.chain(&program, &"t1".into()).await;
     assert!(matches!(chain, Ok(ChainLookup::Found(_))), "{chain:?}");
-    eventually("a chain tells", async || client.news().newest().0 == 5).await;
-    assert_eq!(client.news().newest().1, "a");
+    eventually("a chain tells", async || client.lag().newest().0 == 5).await;
+    assert_eq!(client.lag().newest().1, "a");
 }
 
 #[tokio::test]
@@ -274,7 +271,7 @@
     let deployment = Deployment::start().await;
     let newer = deployment
         .placement
-        .with_occupant(0, "a", deployment.keepers[0].slot.address);
+        .with_slot_holder(0, "a", deployment.keepers[0].slot.address);
     for keeper in &deployment.keepers {
         keeper.service.adopt_placement(newer.clone()).await;
     }
@@ -306,7 +303,7 @@
     deployment.store_on(&[0, 1, 2], &first).await;
     let newer = deployment
         .placement
-        .with_occupant(0, "a", deployment.keepers[0].slot.address);
+        .with_slot_holder(0, "a", deployment.keepers[0].slot.address);
     for keeper in &deployment.keepers {
         keeper.service.adopt_placement(newer.clone()).await;
     }
@@ -314,7 +311,7 @@
     let held = reserving
         .reserve(&"p".into(), reservation("t2", 10), 100, &"t2".into(), 10)
         .await;
-    assert!(matches!(held, Ok(ReserveOutcome::Held(_))));
+    assert!(matches!(held, Ok(ReserveOutcome::Reserved(_))));
     let asking = deployment.client("a");
     let found = asking.chain(&"p".into(), &"t1".into()).await;
     assert_eq!(
@@ -333,7 +330,7 @@
         .await;
     let newer = deployment
         .placement
-        .with_occupant(0, "a", deployment.keepers[0].slot.address);
+        .with_slot_holder(0, "a", deployment.keepers[0].slot.address);
     deployment.keepers[1].service.adopt_placement(newer).await;
     let client = deployment.client("a");
     let found = client.chain(&"p".into(), &"t1".into()).await;
@@ -378,7 +375,7 @@
         .reserve(&"p".into(), reservation("t1", 10), 100, &"t1".into(), 10)
         .await;
     assert!(
-        matches!(reserved, Ok(ReserveOutcome::Held(_))),
+        matches!(reserved, Ok(ReserveOutcome::Reserved(_))),
         "{reserved:?}"
     );
 }
@@ -405,7 +402,7 @@
     early.adopt(
         &deployment
             .placement
-            .with_occupant(0, "a", deployment.keepers[0].slot.address),
+            .with_slot_holder(0, "a", deployment.keepers[0].slot.address),
     );
     let others = deployment.client("b");
     let early_fact = turn("t1", None, b"in", b"out");
@@ -422,7 +419,7 @@
     let successor = start_keeper(&deployment.authority, "d", false).await;
     let newer = deployment
         .placement
-        .with_occupant(0, "d", successor.slot.address);
+        .with_slot_holder(0, "d", successor.slot.address);
     successor.service.adopt_placement(newer.clone()).await;
     let links = deployment.links();
     let rebuilding = rebuild_from_others(&successor.service, &links, "d");
@@ -467,7 +464,7 @@
     );
     let fact = turn("t1", None, b"in", b"out");
     let stored = client.store(&"p".into(), fact).await;
-    assert_eq!(stored, Err(FactFailure::TooFew));
+    assert_eq!(stored, Err(FactFailure::NoMajority));
     let text = String::from_utf8(metrics.render().expect("metrics")).expect("text");
     let failed = text
         .lines()
@@ -509,13 +506,13 @@
 
 /// Asks until all upstreams have been told of with as many runs each, and fails where that takes too long.
 async fn expect_running(client: &KeeperClient, running: u32) {
-    let question = AccountQuestion {
+    let question = AccountQuery {
         service: "engines".into(),
         upstreams: UPSTREAMS.to_vec(),
         prompt: Vec::new(),
     };
     eventually("accounts of all upstreams", async || {
-        let accounts = client.accounts(&question, PATIENCE).await;
+        let accounts = client.query_accounts(&question, PATIENCE).await;
         let told = |tag: u64| accounts.iter().find(|account| account.upstream == tag);
         let met = |tag: &u64| told(*tag).is_some_and(|account| account.running == running);
         UPSTREAMS.iter().all(met)
@@ -528,11 +525,11 @@
     let deployment = Deployment::start().await;
     let (sending, placing) = (deployment.client("a"), deployment.client("b"));
     for upstream in UPSTREAMS {
-        sending.tell_start(run_start(upstream));
+        sending.report_run_start(run_start(upstream));
     }
     expect_running(&placing, 1).await;
     for upstream in UPSTREAMS {
-        sending.tell_end(RunEnd {
+        sending.report_run_end(RunEnd {
             upstream,
             run: upstream,
         });
@@ -554,7 +551,7 @@
     let telling = async {
         loop {
             for upstream in UPSTREAMS {
-                sending.tell_start(run_start(upstream));
+                sending.report_run_start(run_start(upstream));
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
--- a/crates/samphiregrade-gateway/tests/suite/keepers_model.rs
+++ b/crates/samphiregrade-gateway/tests/suite/keepers_model.rs
@@ -7,7 +7,9 @@
 use std::time::{Duration, Instant};
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
-use samphiregrade_gateway::fact::{FactBook, FactRecord, KeeperPlacement, KeeperSlot, Reservation};
+use samphiregrade_gateway::fact::{
+    FactIndex, FactRecord, KeeperPlacement, KeeperSlot, Reservation,
+};
 
 use crate::facts::{export_all, turn};
 
@@ -39,7 +41,7 @@
 }
 
 struct Keeper {
-    book: FactBook,
+    book: FactIndex,
     complete: bool,
 }
 
@@ -56,17 +58,17 @@
 }
 
 impl World {
-    fn new(lost_at_once: usize) -> Self {
-        let count =
-            u16::try_from(KeeperPlacement::wanted_copies(lost_at_once)).expect("a small number");
+    fn new(tolerated_losses: usize) -> Self {
+        let count = u16::try_from(KeeperPlacement::wanted_copies(tolerated_losses))
+            .expect("a small number");
         let slots = (0..count).map(|index| KeeperSlot {
             name: format!("k{index}").into(),
             address: ([127, 0, 0, 1], index).into(),
             domain: format!("d{index}").into(),
         });
-        let placement = KeeperPlacement::first(slots.collect(), lost_at_once);
+        let placement = KeeperPlacement::first(slots.collect(), tolerated_losses);
         let keepers = placement.slots.iter().map(|_| Keeper {
-            book: FactBook::default(),
+            book: FactIndex::default(),
             complete: true,
         });
         Self {
@@ -132,7 +134,7 @@
         }
         let index = usize::from(which) % self.keepers.len();
         self.keepers[index] = Keeper {
-            book: FactBook::default(),
+            book: FactIndex::default(),
             complete: false,
         };
     }
--- a/crates/samphiregrade-gateway/tests/suite/limits.rs
+++ b/crates/samphiregrade-gateway/tests/suite/limits.rs
@@ -13,7 +13,7 @@
 const WINDOW: Duration = Duration::from_secs(5);
 const RULE: LimitRule = LimitRule {
     window: WINDOW,
-    alone: Duration::from_secs(30),
+    standalone_period: Duration::from_secs(30),
 };
 const STEP: Duration = Duration::from_millis(20);
 const ORGANISATION: u64 = 7;
@@ -81,7 +81,7 @@
                 instance: index as u64 + 1,
                 life,
                 rule: RULE,
-                ahead,
+                prefetch: ahead,
             },
             cut: false,
             back: Duration::ZERO,
@@ -145,7 +145,7 @@
     /// Has the entries that reach the home tell it what they let through without one.
     fn report_all(&mut self) {
         for entry in 0..ENTRIES {
-            if self.reaches_home(entry) && self.entries[entry].allowance.owes_report() {
+            if self.reaches_home(entry) && self.entries[entry].allowance.has_unreported_uses() {
                 self.ask(entry, false, false);
             }
         }
@@ -155,9 +155,10 @@
     fn ask(&mut self, entry: usize, begins: bool, lost: bool) {
         let now = self.boot_time();
         let entry = &mut self.entries[entry];
-        let ask = entry
-            .allowance
-            .ask(ORGANISATION, &entry.source, self.limit, begins, now);
+        let ask =
+            entry
+                .allowance
+                .compose_request(ORGANISATION, &entry.source, self.limit, begins, now);
         let grant = self.ledger.answer(&ask, self.now);
         if !lost {
             entry.allowance.accept(&grant, now, now);
@@ -172,7 +173,7 @@
         let now = self.boot_time();
         let mut passes = self.entries[entry].allowance.take(begins, now, WINDOW);
         if !passes && !self.reaches_home(entry) {
-            passes = self.entries[entry].allowance.take_alone(now, &RULE);
+            passes = self.entries[entry].allowance.take_standalone(now, &RULE);
         } else if !passes {
             self.entries[entry].allowance.begin_waiting();
             self.ask(entry, begins, false);
@@ -201,7 +202,7 @@
         self.disk.extend(self.ledger.take_unsaved(self.now));
         for entry in &self.entries {
             if !entry.cut && self.now >= entry.back {
-                self.ledger.hear(entry.source.instance, self.now);
+                self.ledger.record_contact(entry.source.instance, self.now);
             }
         }
     }
--- a/crates/samphiregrade-gateway/tests/suite/link.rs
+++ b/crates/samphiregrade-gateway/tests/suite/link.rs
@@ -62,12 +62,16 @@
     let (relay, connections) = counting_relay(target).await;
     let client = endpoint(&authority, "client");
     // The peer is away: the relay accepts and closes at once.
-    let failed = client.ask::<u64, u64>(relay, &1, PATIENCE).await;
+    let failed = client.request::<u64, u64>(relay, &1, PATIENCE).await;
     assert!(failed.is_err());
     serve(endpoint(&authority, "server"), target);
     let before = connections.load(Ordering::Relaxed);
     loop {
-        if client.ask::<u64, u64>(relay, &1, PATIENCE).await.is_ok() {
+        if client
+            .request::<u64, u64>(relay, &1, PATIENCE)
+            .await
+            .is_ok()
+        {
             break;
         }
         tokio::task::yield_now().await;
@@ -79,7 +83,7 @@
         asking.spawn(async move {
             (
                 number,
-                client.ask::<u64, u64>(relay, &number, PATIENCE).await,
+                client.request::<u64, u64>(relay, &number, PATIENCE).await,
             )
         });
     }
@@ -105,7 +109,7 @@
     let stranger = endpoint(&make_authority().expect("another authority"), "stranger");
     assert!(
         stranger
-            .ask::<u64, u64>(address, &1, PATIENCE)
+            .request::<u64, u64>(address, &1, PATIENCE)
             .await
             .is_err()
     );
@@ -159,7 +163,7 @@
     for number in 0..u64::from(QUESTIONS) {
         let (client, address) = (client.clone(), peer.address);
         asking.spawn(async move {
-            let reply = client.ask::<u64, u64>(address, &number, PATIENCE).await;
+            let reply = client.request::<u64, u64>(address, &number, PATIENCE).await;
             (number, reply)
         });
     }
@@ -168,7 +172,7 @@
     peer.stop.cancel();
     // A peer that has been told sends nothing more there, and its next question fails at once.
     loop {
-        let refused = client.ask::<u64, u64>(peer.address, &0, PATIENCE);
+        let refused = client.request::<u64, u64>(peer.address, &0, PATIENCE);
         if tokio::time::timeout(Duration::from_millis(20), refused)
             .await
             .is_ok_and(|reply| reply.is_err())
@@ -191,7 +195,8 @@
     let peer = holding_peer(endpoint(&authority, "server")).await;
     let client = endpoint(&authority, "client");
     let address = peer.address;
-    let asking = tokio::spawn(async move { client.ask::<u64, u64>(address, &1, PATIENCE).await });
+    let asking =
+        tokio::spawn(async move { client.request::<u64, u64>(address, &1, PATIENCE).await });
     peer.came.acquire().await.expect("an open gate").forget();
     peer.stop.cancel();
     let ended = tokio::time::timeout(PATIENCE, peer.serving).await;
--- a/crates/samphiregrade-gateway/tests/suite/membership.rs
+++ b/crates/samphiregrade-gateway/tests/suite/membership.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use samphiregrade_gateway::fact::{KeeperPlacement, KeeperSlot};
-use samphiregrade_gateway::role::{MemberView, MembershipStep, next_step};
+use samphiregrade_gateway::role::{MembershipStep, MembershipView, next_step};
 use smol_str::SmolStr;
 
 const CALM: Duration = Duration::ZERO;
@@ -47,12 +47,12 @@
     }
 
     fn step(&self) -> MembershipStep {
-        next_step(&MemberView {
+        next_step(&MembershipView {
             own: &self.own,
             placement: self.placement.as_ref(),
             registered: &self.registered,
             unchanged: self.unchanged,
-            lost_at_once: 1,
+            tolerated_losses: 1,
             silence: &self.silence,
             retiring: &self.retiring,
         })
@@ -127,8 +127,11 @@
     scene.retiring = vec!["k1".into()];
     assert_eq!(scene.proposed().slots[0].name, "k4");
     scene.own = slot("k1", "a", 1);
-    scene.placement =
-        Some(KeeperPlacement::first(three(), 1).with_occupant(0, "k4", ([127, 0, 0, 1], 4).into()));
+    scene.placement = Some(KeeperPlacement::first(three(), 1).with_slot_holder(
+        0,
+        "k4",
+        ([127, 0, 0, 1], 4).into(),
+    ));
     scene.silence[1] = DEAD;
     assert_eq!(scene.step(), MembershipStep::Stay);
 }
@@ -146,7 +149,7 @@
         .collect();
     let placement = KeeperPlacement::first(slots, 2);
     assert_eq!((placement.copies, placement.majority()), (5, 3));
-    let moved = placement.with_occupant(3, "new", ([127, 0, 0, 1], 99).into());
+    let moved = placement.with_slot_holder(3, "new", ([127, 0, 0, 1], 99).into());
     for program in 0..200 {
         let program = format!("program-{program}");
         let group = placement.group(&program);
--- a/crates/samphiregrade-gateway/tests/suite/mirror.rs
+++ b/crates/samphiregrade-gateway/tests/suite/mirror.rs
@@ -95,7 +95,7 @@
                     revision,
                 })
                 .collect(),
-            at: self.revision,
+            revision: self.revision,
             ..StorePage::default()
         }
     }
@@ -107,7 +107,7 @@
                 .filter(|item| item.revision > after)
                 .cloned()
                 .collect(),
-            at: self.revision,
+            revision: self.revision,
             ..StorePage::default()
         }
     }
@@ -142,7 +142,7 @@
                 self.keys.insert(item.key.clone(), item.revision);
             }
         }
-        self.position = Some(page.at);
+        self.position = Some(page.revision);
     }
 }
 
@@ -182,8 +182,8 @@
             }
             Step::ReadAgain(watcher) => {
                 let mirror = &mirrors[usize::from(watcher)];
-                mirror.take(&FollowEvent::Lost, now);
-                mirror.take(&FollowEvent::Regained(Duration::ZERO), now);
+                mirror.take(&FollowEvent::Disconnected, now);
+                mirror.take(&FollowEvent::Reconnected(Duration::ZERO), now);
                 mirror.take(&FollowEvent::All(service.all()), now);
             }
             Step::Restart(watcher) => mirrors[usize::from(watcher)] = StoreMirror::default(),
@@ -223,7 +223,7 @@
                 revision,
             })
             .collect(),
-        at,
+        revision: at,
         ..StorePage::default()
     }
 }
@@ -250,10 +250,10 @@
     let mirror = StoreMirror::default();
     assert_eq!(ask(&mirror, None).part, StreamPart::Unread);
     mirror.take(&FollowEvent::All(page(5, &[(0, 5)])), now);
-    mirror.take(&FollowEvent::Lost, now);
+    mirror.take(&FollowEvent::Disconnected, now);
     let reply = ask(&mirror, Some(5));
     assert_eq!((reply.lost, reply.part), (true, StreamPart::Nothing(5)));
-    mirror.take(&FollowEvent::Regained(Duration::ZERO), now);
+    mirror.take(&FollowEvent::Reconnected(Duration::ZERO), now);
     let reply = ask(&mirror, Some(5));
     assert_eq!((reply.lost, reply.returns), (false, 1));
 }
--- a/crates/samphiregrade-gateway/tests/suite/news.rs
+++ b/crates/samphiregrade-gateway/tests/suite/news.rs
@@ -4,7 +4,7 @@
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use samphiregrade_gateway::dialect::StoreRevision;
-use samphiregrade_gateway::store::{FollowPace, RevisionNews};
+use samphiregrade_gateway::store::{FollowTiming, LagTracker};
 use smol_str::{SmolStr, format_smolstr};
 
 /// Time within which an instance has to know a change.
@@ -23,8 +23,8 @@
 
 const KEEPERS: usize = 3;
 
-fn pace() -> FollowPace {
-    FollowPace::new(BOUND / 4, None)
+fn pace() -> FollowTiming {
+    FollowTiming::new(BOUND / 4, None)
 }
 
 fn name(keeper: usize) -> SmolStr {
@@ -34,7 +34,7 @@
 #[test]
 fn nobody_is_left_while_nobody_knows_more() {
     let start = Instant::now();
-    let mut news = RevisionNews::default();
+    let mut news = LagTracker::default();
     news.take(7);
     assert!(!news.hear(&name(1), 7, start));
     assert_eq!(news.leave_at(start, BOUND), None);
@@ -47,8 +47,8 @@
 fn time_counts_from_the_first_word_of_what_is_missing() {
     let start = Instant::now();
     let later = start + STEP;
-    let patience = pace().source_patience();
-    let mut news = RevisionNews::default();
+    let patience = pace().source_timeout();
+    let mut news = LagTracker::default();
     assert!(news.hear(&name(1), 3, start));
     assert!(!news.hear(&name(2), 5, later), "it was behind already");
     assert_eq!(news.leave_at(start, patience), Some(start + patience));
@@ -61,8 +61,8 @@
 fn a_source_that_was_just_turned_to_has_its_time() {
     let start = Instant::now();
     let turned = start + BOUND;
-    let patience = pace().source_patience();
-    let mut news = RevisionNews::default();
+    let patience = pace().source_timeout();
+    let mut news = LagTracker::default();
     news.hear(&name(1), 3, start);
     assert_eq!(news.leave_at(turned, patience), Some(turned + patience));
 }
@@ -70,7 +70,7 @@
 #[test]
 fn a_flood_of_revisions_is_not_forgotten() {
     let start = Instant::now();
-    let mut news = RevisionNews::default();
+    let mut news = LagTracker::default();
     for revision in 1..=1000 {
         news.hear(&name(1), revision, start);
     }
@@ -101,7 +101,7 @@
         let count = usize::arbitrary(source) % 40;
         let mut changes: Vec<Duration> = (0..count).map(|_| time_below(source, PLAYED)).collect();
         changes.sort_unstable();
-        let longest = pace().gather + CALL;
+        let longest = pace().batch_delay + CALL;
         let lags = changes
             .iter()
             .map(|_| [(); KEEPERS].map(|()| time_below(source, longest)))
@@ -143,7 +143,7 @@
 
     fn holds(&self) -> bool {
         let start = Instant::now();
-        let mut news = RevisionNews::default();
+        let mut news = LagTracker::default();
         let (mut source, mut turned, mut position) = (self.source, start, 0);
         let (mut now, mut next_word) = (Duration::ZERO, Duration::ZERO);
         while now < PLAYED {
@@ -156,7 +156,7 @@
             }
             position = self.known(source, now).max(position);
             news.take(position);
-            let leaves = news.leave_at(turned, pace().source_patience());
+            let leaves = news.leave_at(turned, pace().source_timeout());
             if leaves.is_some_and(|due| due <= instant) {
                 let teller = (0..KEEPERS).find(|&keeper| name(keeper) == *news.teller());
                 source = teller.expect("a keeper that told");
--- a/crates/samphiregrade-gateway/tests/suite/outcomes.rs
+++ b/crates/samphiregrade-gateway/tests/suite/outcomes.rs
@@ -4,7 +4,7 @@
 
 use quickcheck::quickcheck;
 use samphiregrade_gateway::upstream::{
-    Candidate, Outcome, OutcomeBoard, OutcomeCounts, OutcomeDelta, OutcomeTable, UpstreamSuspect,
+    Candidate, Outcome, OutcomeCounts, OutcomeDelta, OutcomeTable, OutcomeTracker, UpstreamSuspect,
     WorkEstimate, choose_upstream,
 };
 
@@ -75,25 +75,25 @@
 #[test]
 fn each_keeper_is_told_each_outcome_once() {
     let now = Instant::now();
-    let board = OutcomeBoard::default();
-    board.note(7, Outcome::Good, now);
-    board.note(7, Outcome::Bad, now);
-    board.note(8, Outcome::Good, now);
-    let mut first = board.untold(&"a".into());
+    let board = OutcomeTracker::default();
+    board.note(7, Outcome::Success, now);
+    board.note(7, Outcome::Failure, now);
+    board.note(8, Outcome::Success, now);
+    let mut first = board.take_unreported(&"a".into());
     first.sort_by_key(|delta| delta.upstream);
     assert_eq!(first, [delta(7, 1, 1), delta(8, 1, 0)]);
-    assert_eq!(board.untold(&"a".into()), []);
-    board.note(8, Outcome::Bad, now);
-    assert_eq!(board.untold(&"a".into()), [delta(8, 0, 1)]);
-    assert_eq!(board.untold(&"b".into()).len(), 2);
+    assert_eq!(board.take_unreported(&"a".into()), []);
+    board.note(8, Outcome::Failure, now);
+    assert_eq!(board.take_unreported(&"a".into()), [delta(8, 0, 1)]);
+    assert_eq!(board.take_unreported(&"b".into()).len(), 2);
 }
 
 #[test]
 fn keeper_that_has_just_started_does_not_clear_what_is_known() {
     let now = Instant::now();
-    let board = OutcomeBoard::default();
+    let board = OutcomeTracker::default();
     for _ in 0..6 {
-        board.note(7, Outcome::Bad, now);
+        board.note(7, Outcome::Failure, now);
     }
     let before = board.penalty(7, true, now);
     let uninformed = UpstreamSuspect {
@@ -102,31 +102,31 @@
         bad: 1.0,
         may_probe: false,
     };
-    board.learn(&[uninformed], now);
+    board.merge_suspects(&[uninformed], now);
     assert_eq!(board.penalty(7, true, now), before);
     let informed = UpstreamSuspect {
         good: 30.0,
         ..uninformed
     };
-    board.learn(&[informed], now);
+    board.merge_suspects(&[informed], now);
     assert_eq!(board.penalty(7, true, now), Duration::ZERO);
 }
 
 #[test]
 fn leave_to_probe_is_used_once_and_lost_when_old() {
     let now = Instant::now();
-    let board = OutcomeBoard::default();
+    let board = OutcomeTracker::default();
     let suspect = UpstreamSuspect {
         upstream: 7,
         good: 0.0,
         bad: 5.0,
         may_probe: true,
     };
-    board.learn(&[suspect], now);
-    assert!(board.has_leave() && board.take_leave(7, now));
-    assert!(!board.take_leave(7, now));
-    board.learn(&[suspect], now);
-    assert!(!board.take_leave(7, now + 20 * STEP));
+    board.merge_suspects(&[suspect], now);
+    assert!(board.has_probe_permit() && board.take_probe_permit(7, now));
+    assert!(!board.take_probe_permit(7, now));
+    board.merge_suspects(&[suspect], now);
+    assert!(!board.take_probe_permit(7, now + 20 * STEP));
 }
 
 /// Entries of the played deployment; each meets one engine every few seconds only.
@@ -143,11 +143,11 @@
 /// Plays a busy service of which eight engines answer nearly everything with a failure; returns the failed share.
 fn failed_share(shared: bool) -> f64 {
     let start = Instant::now();
-    let boards: Vec<OutcomeBoard> = (0..ENTRIES).map(|_| OutcomeBoard::default()).collect();
+    let boards: Vec<OutcomeTracker> = (0..ENTRIES).map(|_| OutcomeTracker::default()).collect();
     let mut keeper = OutcomeTable::default();
     let work = WorkEstimate {
-        hold_milliseconds: 220.0,
-        reading_rate: 247.0,
+        slot_milliseconds: 220.0,
+        prefill_rate: 247.0,
         on_engine: true,
     };
     let mut failed = 0;
@@ -167,16 +167,16 @@
             let engine = choose_upstream(&candidates, &work, draw).expect("an engine") as u64;
             let outcome = if engine < FAILING {
                 failed += 1;
-                Outcome::Bad
+                Outcome::Failure
             } else {
-                Outcome::Good
+                Outcome::Success
             };
             board.note(engine, outcome, now);
         }
         if shared {
             for board in &boards {
-                keeper.take(&board.untold(&"k".into()), now);
-                board.learn(&keeper.suspects(1, now), now);
+                keeper.take(&board.take_unreported(&"k".into()), now);
+                board.merge_suspects(&keeper.suspects(1, now), now);
             }
         }
     }
--- a/crates/samphiregrade-gateway/tests/suite/panics.rs
+++ b/crates/samphiregrade-gateway/tests/suite/panics.rs
@@ -13,8 +13,8 @@
     install_logger(log::LevelFilter::Info);
     let task = tokio::spawn(async { panic!("a task that fails") });
     assert!(task.await.expect_err("a failed task").is_panic());
-    Logbook::of_process().record("goes-on", &());
-    Logbook::of_process().flush();
+    Logbook::global().record("goes-on", &());
+    Logbook::global().flush();
 }
 
 #[tokio::test]
--- a/crates/samphiregrade-gateway/tests/suite/rank.rs
+++ b/crates/samphiregrade-gateway/tests/suite/rank.rs
@@ -8,7 +8,7 @@
 /// Turns of some 256 tokens at 0.85 ms each.
 const PACE: TurnPace = TurnPace {
     turn: Duration::from_millis(220),
-    first: Duration::from_millis(40),
+    time_to_head: Duration::from_millis(40),
     token: Duration::from_micros(850),
 };
 
@@ -18,24 +18,24 @@
 fn begins(tag: u8) -> ProgramProgress {
     ProgramProgress {
         tag,
-        first_left: Some(Duration::from_secs(2)),
-        left: Some(Duration::from_secs(2)),
+        initial_time_left: Some(Duration::from_secs(2)),
+        time_left: Some(Duration::from_secs(2)),
         ..ProgramProgress::default()
     }
 }
 
 fn begun(tag: u8) -> ProgramProgress {
     ProgramProgress {
-        ended_turns: 1,
-        made_tokens: 256,
-        left: Some(Duration::from_millis(1600)),
+        completed_turns: 1,
+        generated_tokens: 256,
+        time_left: Some(Duration::from_millis(1600)),
         ..begins(tag)
     }
 }
 
 fn late(tag: u8) -> ProgramProgress {
     ProgramProgress {
-        left: Some(Duration::from_millis(100)),
+        time_left: Some(Duration::from_millis(100)),
         ..begun(tag)
     }
 }
@@ -58,7 +58,7 @@
 #[test]
 fn new_programs_that_have_waited_too_long_go_last_of_their_class() {
     let waited = ProgramProgress {
-        left: Some(Duration::from_millis(500)),
+        time_left: Some(Duration::from_millis(500)),
         ..begins(0)
     };
     assert!(turn_rank(URGENT, &begins(255), &PACE) < turn_rank(URGENT, &waited, &PACE));
@@ -68,7 +68,7 @@
 #[test]
 fn first_turn_that_has_waited_too_long_counts_as_late() {
     let waited = |left| ProgramProgress {
-        left: Some(Duration::from_millis(left)),
+        time_left: Some(Duration::from_millis(left)),
         ..begins(0)
     };
     assert!(!waited(1900).is_late(&PACE));
@@ -79,15 +79,15 @@
 #[test]
 fn time_spent_on_turns_is_not_lost() {
     let far = ProgramProgress {
-        ended_turns: 4,
-        made_tokens: 1024,
-        left: Some(Duration::from_millis(400)),
+        completed_turns: 4,
+        generated_tokens: 1024,
+        time_left: Some(Duration::from_millis(400)),
         ..begins(0)
     };
     assert!(!far.is_late(&PACE));
     let stuck = ProgramProgress {
-        ended_turns: 1,
-        made_tokens: 256,
+        completed_turns: 1,
+        generated_tokens: 256,
         ..far
     };
     assert!(stuck.is_late(&PACE));
@@ -114,7 +114,7 @@
         index: u8,
         turns: u32
     ) -> bool {
-        let progress = ProgramProgress { tag, ended_turns: turns, ..ProgramProgress::default() };
+        let progress = ProgramProgress { tag, completed_turns: turns, ..ProgramProgress::default() };
         let class = UrgencyClass { index, count };
         let less = UrgencyClass { index: index.saturating_add(1), count };
         let rank = turn_rank(class, &progress, &PACE);
@@ -150,10 +150,10 @@
         let key = |program: &Program| {
             let progress = ProgramProgress {
                 tag: program.tag,
-                ended_turns: program.turns,
-                made_tokens: u64::from(program.turns) * 60,
-                first_left: Some(whole),
-                left: Some(whole.saturating_sub(Duration::from_millis(now - program.came))),
+                completed_turns: program.turns,
+                generated_tokens: u64::from(program.turns) * 60,
+                initial_time_left: Some(whole),
+                time_left: Some(whole.saturating_sub(Duration::from_millis(now - program.came))),
             };
             (rank_of(program.tag, &progress), program.waits_since)
         };
--- a/crates/samphiregrade-gateway/tests/suite/run_table.rs
+++ b/crates/samphiregrade-gateway/tests/suite/run_table.rs
@@ -8,8 +8,8 @@
 use samphiregrade_gateway::fact::{KeeperPlacement, KeeperSlot};
 use samphiregrade_gateway::model::PromptPart;
 use samphiregrade_gateway::upstream::{
-    AccountQuestion, Candidate, RunEnd, RunStart, RunTable, SharedPart, UpstreamAccount,
-    WorkEstimate, choose_upstream, ranked_homes,
+    AccountQuery, Candidate, RunEnd, RunStart, RunTable, SharedPrefix, UpstreamAccount,
+    WorkEstimate, choose_upstream, rank_homes,
 };
 
 const CAPACITY: u64 = 192_000;
@@ -29,8 +29,8 @@
     }
 }
 
-fn question(upstreams: &[u64], prompt: &[PromptPart]) -> AccountQuestion {
-    AccountQuestion {
+fn question(upstreams: &[u64], prompt: &[PromptPart]) -> AccountQuery {
+    AccountQuery {
         service: "engines".into(),
         upstreams: upstreams.to_vec(),
         prompt: prompt.to_vec(),
@@ -129,9 +129,9 @@
         ..Candidate::default()
     };
     let mut informed = view;
-    informed.take_account(&account, 0, false);
+    informed.apply_account(&account, 0, false);
     assert_eq!((informed.load, informed.uncached_tokens), (5.0, 700));
-    informed.take_account(&account, 8, false);
+    informed.apply_account(&account, 8, false);
     assert!((informed.load - 8.0).abs() < f64::EPSILON, "own requests");
     // A keeper that has just started hasn't heard of what runs since before.
     let fresh = UpstreamAccount {
@@ -141,7 +141,7 @@
         ..account
     };
     let mut old = Candidate { load: 4.0, ..view };
-    old.take_account(&fresh, 0, false);
+    old.apply_account(&fresh, 0, false);
     assert_eq!((old.load, old.uncached_tokens), (4.0, 0));
 }
 
@@ -159,7 +159,7 @@
     let keepers = placement(5, 24);
     let mut work = [0; 24];
     for upstream in 0..4800_u64 {
-        let slots = keepers.accountants(upstream.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let slots = keepers.account_slots(upstream.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         assert_eq!(slots.len(), 2);
         let domains: Vec<_> = slots
             .iter()
@@ -171,8 +171,8 @@
         }
     }
     assert!(work.iter().all(|&count| (300..500).contains(&count)));
-    assert_eq!(placement(1, 1).accountants(3), [0]);
-    assert!(KeeperPlacement::default().accountants(3).is_empty());
+    assert_eq!(placement(1, 1).account_slots(3), [0]);
+    assert!(KeeperPlacement::default().account_slots(3).is_empty());
 }
 
 /// Numbers that look drawn and are the same in every run.
@@ -250,18 +250,18 @@
 
     /// Asks the keepers as an entry does, and chooses.
     fn choose(&mut self, prompt: &[PromptPart], now: Instant, draw: f64) -> u64 {
-        let part = SharedPart {
+        let part = SharedPrefix {
             tag: prompt[0].tag,
             tokens: prompt[0].tokens,
             share: 1.0 / 16.0,
             capacity: CAPACITY,
         };
-        let homes = ranked_homes(&part, &self.engines);
+        let homes = rank_homes(&part, &self.engines);
         let marked = homes.homes().to_vec();
         let mut accounts: Vec<UpstreamAccount> = Vec::new();
         for index in homes.sample(5, 2, &mut self.random) {
             let engine = self.engines[index];
-            let slot = self.placement.accountants(engine)[0];
+            let slot = self.placement.account_slots(engine)[0];
             accounts.extend(self.tables[slot].answer(&question(&[engine], prompt), now));
         }
         let candidates: Vec<Candidate> = accounts
@@ -276,13 +276,13 @@
                     .iter()
                     .position(|&engine| engine == account.upstream);
                 let home = index.is_some_and(|index| marked.contains(&index));
-                candidate.take_account(account, 0, home);
+                candidate.apply_account(account, 0, home);
                 candidate
             })
             .collect();
         let work = WorkEstimate {
-            hold_milliseconds: 160.0,
-            reading_rate: 247.0,
+            slot_milliseconds: 160.0,
+            prefill_rate: 247.0,
             on_engine: true,
         };
         accounts[choose_upstream(&candidates, &work, draw).expect("a choice")].upstream
@@ -307,7 +307,7 @@
                 ]
             }
             BurstEvent::Told(told) => {
-                for slot in self.placement.accountants(told.upstream) {
+                for slot in self.placement.account_slots(told.upstream) {
                     self.tables[slot].begin(told.clone(), now);
                 }
                 Vec::new()
@@ -317,7 +317,7 @@
                 vec![(now + NOTICE, BurstEvent::ToldOver(end))]
             }
             BurstEvent::ToldOver(end) => {
-                for slot in self.placement.accountants(end.upstream) {
+                for slot in self.placement.account_slots(end.upstream) {
                     self.tables[slot].end(end);
                 }
                 Vec::new()
--- a/crates/samphiregrade-gateway/tests/suite/service_times.rs
+++ b/crates/samphiregrade-gateway/tests/suite/service_times.rs
@@ -10,31 +10,31 @@
 /// An engine as its turns show it.
 struct PlayedEngine {
     head: f64,
-    reading_rate: f64,
+    prefill_rate: f64,
     token: f64,
 }
 
 const FAST: PlayedEngine = PlayedEngine {
     head: 10.0,
-    reading_rate: 247.0,
+    prefill_rate: 247.0,
     token: 0.8,
 };
 
 const SLOW: PlayedEngine = PlayedEngine {
     head: 20.0,
-    reading_rate: 30.0,
+    prefill_rate: 30.0,
     token: 6.0,
 };
 
 impl PlayedEngine {
     /// Answers a turn that finds other turns at the engine and so takes some time more.
     fn turn(&self, uncached: u32, made: u32, share_more: f64) -> AnsweredRequest {
-        let first = (self.head + f64::from(uncached) / self.reading_rate) * (1.0 + share_more);
+        let first = (self.head + f64::from(uncached) / self.prefill_rate) * (1.0 + share_more);
         let total = first + f64::from(made) * self.token * (1.0 + share_more);
         AnsweredRequest {
             uncached,
-            made,
-            first: Duration::from_secs_f64(first / 1000.0),
+            generated_tokens: made,
+            time_to_head: Duration::from_secs_f64(first / 1000.0),
             total: Duration::from_secs_f64(total / 1000.0),
         }
     }
@@ -64,8 +64,8 @@
         let times = engine.learned(60);
         let token = times.token().as_secs_f64() * 1000.0;
         assert!(is_near(token, engine.token), "{token}");
-        let rate = times.reading_rate();
-        assert!(is_near(rate, engine.reading_rate), "{rate}");
+        let rate = times.prefill_rate();
+        assert!(is_near(rate, engine.prefill_rate), "{rate}");
     }
 }
 
@@ -84,8 +84,8 @@
     let choose = |engine: &PlayedEngine| {
         let times = engine.learned(60);
         let work = WorkEstimate {
-            hold_milliseconds: times.hold().as_secs_f64() * 1000.0,
-            reading_rate: times.reading_rate(),
+            slot_milliseconds: times.slot_time().as_secs_f64() * 1000.0,
+            prefill_rate: times.prefill_rate(),
             on_engine: true,
         };
         choose_upstream(&[cached, empty], &work, 0.0)
@@ -98,8 +98,8 @@
     };
     let times = FAST.learned(60);
     let work = WorkEstimate {
-        hold_milliseconds: times.hold().as_secs_f64() * 1000.0,
-        reading_rate: times.reading_rate(),
+        slot_milliseconds: times.slot_time().as_secs_f64() * 1000.0,
+        prefill_rate: times.prefill_rate(),
         on_engine: true,
     };
     assert_eq!(choose_upstream(&[longer, empty], &work, 0.0), Some(1));
@@ -138,13 +138,13 @@
             let first = Duration::from_micros(u64::from(first));
             times.note(&AnsweredRequest {
                 uncached,
-                made,
-                first,
+                generated_tokens: made,
+                time_to_head: first,
                 total: first + Duration::from_micros(u64::from(more)),
             });
         }
-        let rate = times.reading_rate();
-        rate.is_finite() && rate >= 1.0 && times.hold() > Duration::ZERO
+        let rate = times.prefill_rate();
+        rate.is_finite() && rate >= 1.0 && times.slot_time() > Duration::ZERO
     }
     quickcheck(sound as fn(Vec<(u32, u32, u32, u32)>) -> bool);
 }
--- a/crates/samphiregrade-gateway/tests/suite/settings.rs
+++ b/crates/samphiregrade-gateway/tests/suite/settings.rs
@@ -57,16 +57,16 @@
             "{GOOD}[times]\ndrain-milliseconds = {drain}.0\nconfiguration-milliseconds = {configuration}.0\n"
         );
         let settings = GatewaySettings::parse(&times).expect("good settings");
-        let pace = settings.follow_pace();
+        let pace = settings.follow_timing();
         let in_force = Duration::from_millis(drain.min(configuration));
-        assert!(pace.gather + heard + pace.source_patience() <= in_force * 3 / 4);
+        assert!(pace.batch_delay + heard + pace.source_timeout() <= in_force * 3 / 4);
     }
 }
 
 #[test]
 fn time_of_a_configuration_is_that_of_draining_where_none_is_named() {
     let settings = GatewaySettings::parse(GOOD).expect("good settings");
-    assert_eq!(settings.times.in_force(), settings.times.drain());
+    assert_eq!(settings.times.propagation_limit(), settings.times.drain());
     let text = format!("{GOOD}[times]\nconfiguration-milliseconds = -1.0\n");
     let error = GatewaySettings::parse(&text).expect_err("a negative time");
     assert!(
--- a/crates/samphiregrade-gateway/tests/suite/silence.rs
+++ b/crates/samphiregrade-gateway/tests/suite/silence.rs
@@ -21,7 +21,7 @@
     let start = Instant::now();
     let mut watch = SilenceWatch::default();
     let number = watch.begin(start);
-    watch.hear(start + 5 * STEP);
+    watch.record_response(start + 5 * STEP);
     assert_eq!(watch.penalty(start + 7 * STEP), Duration::ZERO);
     assert!(!watch.end(number, start + 8 * STEP));
 }
@@ -42,7 +42,7 @@
     let start = Instant::now();
     let mut watch = SilenceWatch::default();
     let number = watch.begin(start);
-    watch.hear(start + STEP);
+    watch.record_response(start + STEP);
     assert!(!watch.end(number, start + STEP));
 }
 
@@ -51,11 +51,11 @@
     let start = Instant::now();
     let mut domain = SilenceWatch::default();
     domain.begin(start);
-    assert!(!domain.is_out_of_reach(start, start + 5 * STEP));
-    assert!(domain.is_out_of_reach(start, start + 8 * STEP));
-    assert!(!domain.is_out_of_reach(start + 5 * STEP, start + 8 * STEP));
-    domain.hear(start + 6 * STEP);
-    assert!(!domain.is_out_of_reach(start, start + 12 * STEP));
+    assert!(!domain.is_overdue(start, start + 5 * STEP));
+    assert!(domain.is_overdue(start, start + 8 * STEP));
+    assert!(!domain.is_overdue(start + 5 * STEP, start + 8 * STEP));
+    domain.record_response(start + 6 * STEP);
+    assert!(!domain.is_overdue(start, start + 12 * STEP));
 }
 
 #[test]
@@ -66,7 +66,7 @@
     assert!(domain.penalty(start + STEP) > Duration::from_secs(1));
     assert_eq!(domain.penalty(start + 20 * STEP), Duration::ZERO);
     domain.lose(start + 20 * STEP);
-    domain.hear(start + 21 * STEP);
+    domain.record_response(start + 21 * STEP);
     assert_eq!(domain.penalty(start + 22 * STEP), Duration::ZERO);
 }
 
@@ -75,7 +75,7 @@
     let start = Instant::now();
     let mut domain = SilenceWatch::default();
     assert!(!domain.was_heard_within(STEP, start));
-    domain.hear(start);
+    domain.record_response(start);
     assert!(domain.was_heard_within(2 * STEP, start + STEP));
     assert!(!domain.was_heard_within(2 * STEP, start + 3 * STEP));
 }
--- a/crates/samphiregrade-gateway/tests/suite/upstreams.rs
+++ b/crates/samphiregrade-gateway/tests/suite/upstreams.rs
@@ -3,13 +3,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use samphiregrade_gateway::model::{PromptPart, ReportedLoad, UpstreamEntry, UpstreamState};
+use samphiregrade_gateway::model::{PromptPart, ReportedLoad, UpstreamRecord, UpstreamState};
 use samphiregrade_gateway::upstream::{DepartureRule, Upstream, UpstreamRegistry};
 
 const DRAIN: Duration = Duration::from_secs(2);
 
-fn entry(id: &str, state: UpstreamState) -> UpstreamEntry {
-    UpstreamEntry {
+fn entry(id: &str, state: UpstreamState) -> UpstreamRecord {
+    UpstreamRecord {
         id: id.into(),
         started: None,
         service: "engines".into(),
@@ -22,8 +22,8 @@
 }
 
 /// An entry of an upstream that started at a time, with everything else as ever.
-fn started(id: &str, started: u64) -> UpstreamEntry {
-    UpstreamEntry {
+fn started(id: &str, started: u64) -> UpstreamRecord {
+    UpstreamRecord {
         started: Some(started),
         ..entry(id, UpstreamState::Ready)
     }
@@ -43,7 +43,7 @@
         .iter()
         .filter(|upstream| upstream.takes_requests());
     upstreams
-        .map(|upstream| upstream.entry.id.to_string())
+        .map(|upstream| upstream.record.id.to_string())
         .collect()
 }
 
@@ -63,9 +63,9 @@
     let mut registry = UpstreamRegistry::new(DepartureRule::for_drain(DRAIN));
     registry.put(entry("i-1", UpstreamState::Ready), now);
     registry.remove(&"i-1".into(), now);
-    let due = registry.settle(now).expect("a time to look again");
+    let due = registry.drop_departed(now).expect("a time to look again");
     assert!(due < now + DRAIN);
-    registry.settle(due);
+    registry.drop_departed(due);
     assert!(usable(&registry).is_empty());
 }
 
@@ -75,15 +75,15 @@
     let mut registry = UpstreamRegistry::new(DepartureRule::for_drain(DRAIN));
     registry.put(entry("i-1", UpstreamState::Ready), now);
     registry.put(entry("i-2", UpstreamState::Ready), now);
-    registry.unsettle(now);
+    registry.record_store_outage(now);
     registry.replace(Vec::new(), now);
-    registry.settle(now + Duration::from_millis(1900));
+    registry.drop_departed(now + Duration::from_millis(1900));
     assert_eq!(usable(&registry).len(), 2);
     registry.put(
         entry("i-1", UpstreamState::Ready),
         now + Duration::from_secs(2),
     );
-    registry.settle(now + Duration::from_millis(2300));
+    registry.drop_departed(now + Duration::from_millis(2300));
     assert_eq!(usable(&registry), ["i-1"]);
 }
 
@@ -112,7 +112,7 @@
 fn silent_failure_domain_costs_at_all_of_its_upstreams() {
     let now = Instant::now();
     let mut registry = UpstreamRegistry::new(DepartureRule::for_drain(DRAIN));
-    let far = |id: &str| UpstreamEntry {
+    let far = |id: &str| UpstreamRecord {
         domain: "b".into(),
         ..entry(id, UpstreamState::Ready)
     };
@@ -130,7 +130,7 @@
     let _waiting = upstreams[1].await_head(Arc::default(), now);
     assert!(penalty(2) > Duration::from_millis(400));
     assert_eq!(penalty(0), Duration::ZERO);
-    upstreams[2].hear_domain(later);
+    upstreams[2].record_domain_response(later);
     assert_eq!(penalty(2), Duration::ZERO);
     assert!(penalty(1) > Duration::from_millis(400));
 }
@@ -146,14 +146,14 @@
         tokens: 900,
     }];
     before.note_prompt(&prompt, 100_000, now);
-    before.fail(now, true);
+    before.record_failure(now, true);
     let load = ReportedLoad {
         running: 5,
         waiting: 2,
         slots: 8,
     };
     before.note_load(load, now);
-    let again = UpstreamEntry {
+    let again = UpstreamRecord {
         slots: 4,
         ..started("i-1", 2000)
     };
@@ -161,14 +161,14 @@
     let after = only(&registry);
     let candidate = after.candidate(after.load(now), &prompt, false, &"a".into(), now);
     assert_eq!(candidate.uncached_tokens, 900);
-    assert!(candidate.load < 0.01 && after.is_trusted(now));
+    assert!(candidate.load < 0.01 && after.is_breaker_closed(now));
     assert!((candidate.slots - 4.0).abs() < 0.01);
     assert!(!before.takes_requests(), "who still holds it sends nothing");
 }
 
 /// Returns whether an answer that is silent is given up soon.
 async fn is_given_up(upstream: &Upstream) -> bool {
-    let lost = upstream.lost_for(Duration::from_millis(20));
+    let lost = upstream.wait_until_unreachable(Duration::from_millis(20));
     tokio::time::timeout(Duration::from_millis(200), lost)
         .await
         .is_ok()
@@ -181,9 +181,9 @@
     registry.put(entry("i-1", UpstreamState::Ready), now);
     let upstream = only(&registry);
     assert!(!is_given_up(&upstream).await, "silence alone is no reason");
-    upstream.lose_domain(Instant::now());
+    upstream.mark_domain_unreachable(Instant::now());
     assert!(is_given_up(&upstream).await);
-    upstream.hear_domain(Instant::now());
+    upstream.record_domain_response(Instant::now());
     assert!(!is_given_up(&upstream).await, "the way is open again");
 }
 
@@ -192,7 +192,7 @@
     let now = Instant::now();
     let mut registry = UpstreamRegistry::new(DepartureRule::for_drain(DRAIN));
     registry.put(started("i-1", 2000), now);
-    let late = UpstreamEntry {
+    let late = UpstreamRecord {
         state: UpstreamState::Draining,
         ..started("i-1", 1000)
     };
@@ -216,13 +216,13 @@
     let now = Instant::now();
     let mut registry = UpstreamRegistry::new(DepartureRule::for_drain(DRAIN));
     registry.put(entry("i-1", UpstreamState::Ready), now);
-    let moved = UpstreamEntry {
+    let moved = UpstreamRecord {
         address: "127.0.0.1:10".parse().expect("an address"),
         ..entry("i-1", UpstreamState::Ready)
     };
     registry.put(moved.clone(), now);
-    assert_eq!(only(&registry).entry.address, moved.address);
-    let lent = UpstreamEntry {
+    assert_eq!(only(&registry).record.address, moved.address);
+    let lent = UpstreamRecord {
         service: "tools".into(),
         ..moved
     };
@@ -242,8 +242,8 @@
     registry.put(entry("i-1", UpstreamState::Ready), now);
     assert_eq!(usable(&registry), ["i-1", "i-2"]);
     registry.reject(&"i-1".into(), now);
-    let due = registry.settle(now).expect("a time to look again");
-    registry.settle(due);
+    let due = registry.drop_departed(now).expect("a time to look again");
+    registry.drop_departed(due);
     registry.put(entry("i-1", UpstreamState::Ready), due);
     assert_eq!(usable(&registry), ["i-1", "i-2"]);
 }
--- a/crates/samphiregrade-gateway/tests/suite/waiting.rs
+++ b/crates/samphiregrade-gateway/tests/suite/waiting.rs
@@ -2,7 +2,7 @@
 
 use std::io::{self, ErrorKind};
 
-use samphiregrade_gateway::exchange::take_waiting;
+use samphiregrade_gateway::exchange::drain_backlog;
 
 /// The system's number for a process without free descriptors.
 const NO_DESCRIPTORS: i32 = 24;
@@ -15,7 +15,7 @@
         next.unwrap_or_else(|| Err(ErrorKind::WouldBlock.into()))
     };
     let mut taken = Vec::new();
-    take_waiting(accept, |connection| taken.push(connection)).await;
+    drain_backlog(accept, |connection| taken.push(connection)).await;
     taken
 }
 
--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -8,7 +8,7 @@
 use pico_args::Arguments;
 use samphiregrade_gateway::dialect::Dialect;
 use samphiregrade_gateway::observe::Logbook;
-use samphiregrade_gateway::role::hold_reloads;
+use samphiregrade_gateway::role::block_reload_signal;
 use samphiregrade_gateway::settings::GatewaySettings;
 use samphiregrade_http::run_system;
 use samphiregrade_platform::PlatformDialect;
@@ -33,13 +33,13 @@
     Role: FnOnce(GatewaySettings, PathBuf, Arc<dyn Dialect>) -> Running,
     Running: Future<Output = Result<()>> + 'static,
 {
-    hold_reloads().context("holding reloads back")?;
+    block_reload_signal().context("holding reloads back")?;
     super::install_crypto();
     let path = arguments.settings;
     let settings = GatewaySettings::read(&path)?;
     let ended = run_system(role(settings, path, Arc::new(PlatformDialect)));
     // Only now: tasks that end with the system tell of requests that were still under way.
-    Logbook::of_process().flush();
+    Logbook::global().flush();
     ended?;
     Ok(ExitCode::SUCCESS)
 }
--- a/src/instance/callers.rs
+++ b/src/instance/callers.rs
@@ -20,7 +20,7 @@
 };
 use crate::link::ForwardedRequest;
 use crate::program::{ProgramBegin, body_digest, grant_limits};
-use crate::shard::{CallCommand, CallReply, InspectQuestion, ShardCommand};
+use crate::shard::{CallCommand, CallReply, ProgramQuery, ShardCommand};
 
 /// Pause between two tries to find a shard's primary.
 const ROUTE_PAUSE: Duration = Duration::from_millis(50);
@@ -36,7 +36,7 @@
     /// The answer.
     Response(OutgoingResponse),
     /// The shard's primary is another instance, or nobody yet.
-    Moved,
+    NotPrimary,
 }
 
 impl InstanceState {
@@ -127,7 +127,7 @@
         if placement.primary == self.peers.view().me {
             return match self.answer_locally(operation, organisation).await {
                 LocalAnswer::Response(response) => Some(response),
-                LocalAnswer::Moved => None,
+                LocalAnswer::NotPrimary => None,
             };
         }
         self.forward(shard, &placement.primary, forwarded.clone())
@@ -212,7 +212,7 @@
             .placement(&shard)
             .is_some_and(|placement| placement.primary == me);
         if !placed {
-            return LocalAnswer::Moved;
+            return LocalAnswer::NotPrimary;
         }
         match &operation.kind {
             OperationKind::Begin(begin, body) => {
@@ -230,29 +230,29 @@
                 };
                 self.tell(&shard, ShardCommand::Call(Box::new(command)))
                     .await;
-                let answer = answer.await.unwrap_or(CallReply::Moved);
+                let answer = answer.await.unwrap_or(CallReply::NotPrimary);
                 let program = &operation.program;
                 self.respond_to_call(program, call.sequence, call.stream, answer)
                     .await
             }
             OperationKind::LateAnswer(sequence, offset) => {
                 let (reply, answer) = oneshot::channel();
-                let question = InspectQuestion::Call(*sequence, reply);
+                let question = ProgramQuery::Call(*sequence, reply);
                 self.inspect(&shard, operation, organisation, question)
                     .await;
-                let answer = answer.await.unwrap_or(CallReply::Moved);
+                let answer = answer.await.unwrap_or(CallReply::NotPrimary);
                 self.respond_late(&operation.program, *sequence, *offset, answer)
             }
             OperationKind::Show => {
                 let (reply, answer) = oneshot::channel();
-                let question = InspectQuestion::Program(reply);
+                let question = ProgramQuery::Program(reply);
                 self.inspect(&shard, operation, organisation, question)
                     .await;
                 respond::json_or_moved(answer.await.ok())
             }
             OperationKind::History => {
                 let (reply, answer) = oneshot::channel();
-                let question = InspectQuestion::History(reply);
+                let question = ProgramQuery::History(reply);
                 self.inspect(&shard, operation, organisation, question)
                     .await;
                 respond::json_or_moved(answer.await.ok())
@@ -277,10 +277,10 @@
         shard: &ShardId,
         operation: &CallerOperation,
         organisation: &OrganisationId,
-        question: InspectQuestion,
+        question: ProgramQuery,
     ) {
         let program = operation.program.clone();
-        let command = ShardCommand::Inspect(program, organisation.clone(), question);
+        let command = ShardCommand::Query(program, organisation.clone(), question);
         self.tell(shard, command).await;
     }
 
--- a/src/instance/callers/respond.rs
+++ b/src/instance/callers/respond.rs
@@ -34,7 +34,7 @@
     match answer {
         Some(Ok(body)) => LocalAnswer::Response(OutgoingResponse::json(200, &body)),
         Some(Err(refusal)) => LocalAnswer::Response(refusal.response()),
-        None => LocalAnswer::Moved,
+        None => LocalAnswer::NotPrimary,
     }
 }
 
@@ -65,7 +65,7 @@
         let wait = Duration::from_secs(self.settings.limits.wait_seconds);
         match tokio::time::timeout(wait, reader.outcome()).await {
             Ok(Some(outcome)) => LocalAnswer::Response(outcome.response(program, sequence)),
-            Ok(None) => LocalAnswer::Moved,
+            Ok(None) => LocalAnswer::NotPrimary,
             Err(_) => {
                 let detail = "the call is still under way";
                 let refusal = Refusal::unknown(RefusalKind::UpstreamTimeout, detail);
@@ -83,7 +83,7 @@
         answer: CallReply,
     ) -> LocalAnswer {
         let response = match (answer, offset) {
-            (CallReply::Moved, _) => return LocalAnswer::Moved,
+            (CallReply::NotPrimary, _) => return LocalAnswer::NotPrimary,
             (CallReply::Refused(refusal), _) => refusal.response(),
             (CallReply::Outcome(outcome), None) => outcome.response(program, sequence),
             (CallReply::Outcome(outcome), Some(offset)) => {
--- a/src/instance/forward.rs
+++ b/src/instance/forward.rs
@@ -98,7 +98,7 @@
         let response = match CallerOperation::parse(&request) {
             Ok(operation) => match self.answer_locally(&operation, &organisation).await {
                 LocalAnswer::Response(response) => response,
-                LocalAnswer::Moved => OutgoingResponse::full(STATUS_MOVED, "text/plain", ""),
+                LocalAnswer::NotPrimary => OutgoingResponse::full(STATUS_MOVED, "text/plain", ""),
             },
             Err(refusal) => refusal.response(),
         };
--- a/src/instance/mod.rs
+++ b/src/instance/mod.rs
@@ -32,7 +32,7 @@
 use crate::record::ConfigView;
 use crate::scheduler::CallQueue;
 use crate::settings::Settings;
-use crate::shard::{MapKeeper, ShardContext, ShardCounters};
+use crate::shard::{MapCache, ShardContext, ShardCounters};
 use crate::storage::{BulkStore, RecoveredCopy, StorageError};
 use crate::upstream::{OrderContext, UpstreamRunner, run_orders, run_poller};
 
@@ -89,7 +89,7 @@
     peers: Arc<PeerTable>,
     network: LinkNetwork,
     key_value: KeyValueClient,
-    maps: Arc<MapKeeper>,
+    maps: Arc<MapCache>,
     config: Arc<ArcSwap<ConfigView>>,
     records: RecordKeeper,
     shards: ShardHost,
@@ -142,7 +142,7 @@
             burst: settings.platform.call_burst,
         };
         let key_value = KeyValueClient::new(parts.store, limits);
-        let maps = MapKeeper::start(key_value.clone(), &me.to_string(), stop.clone());
+        let maps = MapCache::start(key_value.clone(), &me.to_string(), stop.clone());
         let config = Arc::new(ArcSwap::from_pointee(ConfigView::default()));
         let queue = Arc::new(CallQueue::new(domain, me.incarnation));
         let runner = UpstreamRunner::new(queue.clone(), parts.pool.clone(), config.clone());
@@ -267,7 +267,7 @@
         let me = self.peers.view().me.clone();
         let maps = self.maps.all();
         let shards = maps.iter().flat_map(|map| &map.map.shards);
-        shards.filter(|placement| placement.holds(&me)).count()
+        shards.filter(|placement| placement.has_member(&me)).count()
     }
 
     /// Returns whether no other instance of the failure domain answers.
--- a/src/instance/news.rs
+++ b/src/instance/news.rs
@@ -61,7 +61,7 @@
                 .map
                 .shards
                 .iter()
-                .filter(|placement| placement.holds(&me))
+                .filter(|placement| placement.has_member(&me))
             {
                 partners.extend(placement.members().filter(|member| **member != me).cloned());
             }
--- a/src/instance/shards.rs
+++ b/src/instance/shards.rs
@@ -72,7 +72,7 @@
     fn start_listed(&self, me: &InstanceRef) {
         for map in self.context.maps.all() {
             for (index, placement) in map.map.shards.iter().enumerate() {
-                if !placement.holds(me) {
+                if !placement.has_member(me) {
                     continue;
                 }
                 let shard = ShardId {
--- a/src/program/book.rs
+++ b/src/program/book.rs
@@ -1,4 +1,4 @@
-//! The book of a shard: every program it holds, built up by log entries.
+//! The table of a shard: every program it holds, built up by log entries.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::SystemTime;
@@ -144,13 +144,13 @@
 
 /// All programs of a shard.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct ShardBook {
+pub struct ProgramTable {
     programs: HashMap<ProgramId, ProgramRecord>,
     organisations: BTreeMap<OrganisationId, TokenCount>,
     classes: BTreeMap<ClassName, TokenCount>,
 }
 
-impl ShardBook {
+impl ProgramTable {
     /// Returns a program.
     #[must_use]
     pub fn program(&self, program: &str) -> Option<&ProgramRecord> {
@@ -310,9 +310,9 @@
         }
     }
 
-    /// Returns the state of the book in numbers, for dumps.
+    /// Returns the state of the table in numbers, for dumps.
     #[must_use]
-    pub fn summary(&self) -> BookSummary {
+    pub fn summary(&self) -> TableSummary {
         let running = self
             .programs
             .values()
@@ -323,7 +323,7 @@
             .values()
             .map(|program| program.holds.len())
             .sum();
-        BookSummary {
+        TableSummary {
             programs: self.programs.len(),
             running,
             holds,
@@ -338,10 +338,10 @@
     }
 }
 
-/// State of a book in numbers.
+/// State of a table in numbers.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct BookSummary {
+pub struct TableSummary {
     /// Programs remembered.
     pub programs: usize,
     /// Programs running.
--- a/src/program/decide.rs
+++ b/src/program/decide.rs
@@ -1,8 +1,8 @@
-//! Decisions about a caller's request, from a book and a time.
+//! Decisions about a caller's request, from a table and a time.
 
 use std::time::{Duration, SystemTime};
 
-use super::book::{CallPhase, ProgramRecord, ProgramStatus, ShardBook};
+use super::book::{CallPhase, ProgramRecord, ProgramStatus, ProgramTable};
 use super::budget::ProgramLimits;
 use super::entry::{BodyDigest, CallIntent, EndReason, LogEntry, ProgramBegin, ProgramEnd};
 use super::outcome::CallOutcome;
@@ -28,8 +28,8 @@
 
 /// Decides about the begin of a program, or of a sub-agent below a parent of the same shard.
 #[must_use]
-pub fn begin_program(book: &ShardBook, mut begin: ProgramBegin) -> BeginDecision {
-    if let Some(known) = book.program(&begin.program) {
+pub fn decide_begin(table: &ProgramTable, mut begin: ProgramBegin) -> BeginDecision {
+    if let Some(known) = table.program(&begin.program) {
         if known.begin.digest != begin.digest {
             let refusal = Refusal::not_run(RefusalKind::KeyReused, "the key began another program");
             return BeginDecision::Refuse(refusal);
@@ -37,7 +37,7 @@
         return BeginDecision::Known(known.begin.limits.tokens);
     }
     if let Some(parent) = begin.parent.clone() {
-        match begin_below(book, &parent, &mut begin) {
+        match begin_below(table, &parent, &mut begin) {
             Ok(()) => {}
             Err(refusal) => return BeginDecision::Refuse(refusal),
         }
@@ -47,12 +47,12 @@
 }
 
 fn begin_below(
-    book: &ShardBook,
+    table: &ProgramTable,
     parent: &ProgramId,
     begin: &mut ProgramBegin,
 ) -> Result<(), Refusal> {
     let refuse = |kind, detail: &str| Err(Refusal::not_run(kind, detail));
-    let Some(parent) = visible(book, parent, &begin.organisation) else {
+    let Some(parent) = visible(table, parent, &begin.organisation) else {
         return refuse(RefusalKind::UnknownProgram, "no such parent program");
     };
     if !parent.is_running() {
@@ -85,12 +85,12 @@
 }
 
 /// Returns a program where the organisation may see it.
-fn visible<'book>(
-    book: &'book ShardBook,
+fn visible<'table>(
+    table: &'table ProgramTable,
     program: &str,
     organisation: &str,
-) -> Option<&'book ProgramRecord> {
-    let record = book.program(program)?;
+) -> Option<&'table ProgramRecord> {
+    let record = table.program(program)?;
     (record.begin.organisation == organisation).then_some(record)
 }
 
@@ -140,8 +140,8 @@
 
 /// Decides about a call.
 #[must_use]
-pub fn place_call(book: &ShardBook, arrival: &CallArrival) -> CallDecision {
-    let Some(program) = visible(book, &arrival.program, &arrival.organisation) else {
+pub fn decide_call(table: &ProgramTable, arrival: &CallArrival) -> CallDecision {
+    let Some(program) = visible(table, &arrival.program, &arrival.organisation) else {
         // It may have been forgotten, and the call may have run before that.
         let refusal = Refusal::unknown(RefusalKind::UnknownProgram, "no such program");
         return CallDecision::Refuse(refusal);
@@ -288,13 +288,13 @@
 
 /// Decides about the end of a program by its caller.
 #[must_use]
-pub fn end_program(
-    book: &ShardBook,
+pub fn decide_end(
+    table: &ProgramTable,
     program: &ProgramId,
     organisation: &str,
     now: SystemTime,
 ) -> EndDecision {
-    let Some(record) = visible(book, program, organisation) else {
+    let Some(record) = visible(table, program, organisation) else {
         let refusal = Refusal::not_run(RefusalKind::UnknownProgram, "no such program");
         return EndDecision::Refuse(refusal);
     };
@@ -305,12 +305,12 @@
         let refusal = Refusal::not_run(RefusalKind::OutOfOrder, "a call has not finished yet");
         return EndDecision::Refuse(refusal.with_retry_after(EARLY_RETRY));
     }
-    EndDecision::Accept(end_entries(book, program, EndReason::Caller, now))
+    EndDecision::Accept(end_entries(table, program, EndReason::Caller, now))
 }
 
 /// Composes the entries that end a program after its sub-agents.
 fn end_entries(
-    book: &ShardBook,
+    table: &ProgramTable,
     program: &ProgramId,
     reason: EndReason,
     now: SystemTime,
@@ -318,7 +318,7 @@
     let mut entries = Vec::new();
     let mut open = vec![(program.clone(), reason)];
     while let Some((program, reason)) = open.pop() {
-        let Some(record) = book.program(&program) else {
+        let Some(record) = table.program(&program) else {
             continue;
         };
         if !record.is_running() {
@@ -345,16 +345,16 @@
 ///
 /// A busy program is left until its call has an outcome.
 #[must_use]
-pub fn sweep_expired(book: &ShardBook, now: SystemTime, remember: Duration) -> Vec<LogEntry> {
+pub fn sweep_expired(table: &ProgramTable, now: SystemTime, retention: Duration) -> Vec<LogEntry> {
     let mut entries = Vec::new();
-    for (program, record) in book.programs() {
+    for (program, record) in table.programs() {
         match record.status {
             ProgramStatus::Running if now >= record.begin.deadline && !record.is_busy() => {
-                entries.extend(end_entries(book, program, EndReason::Deadline, now));
+                entries.extend(end_entries(table, program, EndReason::Deadline, now));
             }
             ProgramStatus::Ended { at, .. } => {
                 let age = now.duration_since(at).unwrap_or_default();
-                if age >= remember && record.holds.is_empty() && !record.is_busy() {
+                if age >= retention && record.holds.is_empty() && !record.is_busy() {
                     entries.push(LogEntry::Forget(program.clone()));
                 }
             }
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -19,7 +19,7 @@
 use super::admit::{AdmissionView, refuse_begin};
 use super::learn::ClassLearner;
 use super::policy::make_policy;
-use super::retain::{CacheState, wants_hold};
+use super::retain::{CacheState, should_hold};
 use crate::contract::{Refusal, TokenUsage};
 use crate::ids::{ClassName, DomainId, InstanceName, ProgramId, ShardId, TokenCount, UpstreamName};
 use crate::link::{LoadReport, ReportNews, UpstreamShare, upstream_tag};
@@ -362,7 +362,7 @@
     }
 
     /// Decides whether an engine keeps the prefix of a program that pauses.
-    pub fn wants_hold(
+    pub fn should_hold(
         &self,
         class: &ClassName,
         upstream: &UpstreamName,
@@ -383,7 +383,7 @@
             used_tokens: report.used_tokens,
             held_tokens: report.held_tokens,
         });
-        wants_hold(&state.learner.history(class), cache, tokens)
+        should_hold(&state.learner.history(class), cache, tokens)
     }
 
     /// Notes whether an engine holds a program's prefix.
--- a/src/scheduler/queue/state.rs
+++ b/src/scheduler/queue/state.rs
@@ -73,7 +73,7 @@
                 .programs
                 .get(&job.intent.program)
                 .map(|cache| cache.engine.clone())
-                .or_else(|| job.held_at.clone()),
+                .or_else(|| job.holding_upstream.clone()),
         }
     }
 
@@ -247,7 +247,9 @@
                 let present = cache.held || !entry.is_stale(cache.mark, now);
                 if present { cache.tokens } else { 0 }
             }
-            None if waiting.job.held_at.as_ref() == Some(name) => waiting.view.prompt_tokens,
+            None if waiting.job.holding_upstream.as_ref() == Some(name) => {
+                waiting.view.prompt_tokens
+            }
             _ => 0,
         };
         own.max(shared).min(waiting.view.prompt_tokens)
--- a/src/scheduler/retain.rs
+++ b/src/scheduler/retain.rs
@@ -29,7 +29,7 @@
     clippy::cast_precision_loss,
     reason = "token counts are far below 2^52"
 )]
-pub fn wants_hold(history: &ClassHistory, cache: CacheState, tokens: TokenCount) -> bool {
+pub fn should_hold(history: &ClassHistory, cache: CacheState, tokens: TokenCount) -> bool {
     if cache.cache_tokens == 0 {
         return false;
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -174,8 +174,8 @@
             local_backups: shards.local_backups,
             remote_backups: shards.remote_backups,
             append_timeout_ms: 500,
-            remember_seconds: shards.remember.as_secs(),
-            longest_hold_seconds: shards.longest_hold.as_secs(),
+            remember_seconds: shards.retention.as_secs(),
+            longest_hold_seconds: shards.max_hold.as_secs(),
         }
     }
 }
@@ -188,8 +188,8 @@
             local_backups: self.local_backups,
             remote_backups: self.remote_backups,
             append_timeout: Duration::from_millis(self.append_timeout_ms),
-            remember: Duration::from_secs(self.remember_seconds),
-            longest_hold: Duration::from_secs(self.longest_hold_seconds),
+            retention: Duration::from_secs(self.remember_seconds),
+            max_hold: Duration::from_secs(self.longest_hold_seconds),
             ..ShardSettings::default()
         }
     }
--- a/src/shard/actor.rs
+++ b/src/shard/actor.rs
@@ -8,13 +8,13 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-use super::command::{CallReply, CopyDump, InspectQuestion, ShardCommand};
+use super::command::{CallReply, CopyDump, ProgramQuery, ShardCommand};
 use super::context::ShardContext;
 use super::copy::{AppendReply, AppendRequest, BackupRole, InstallRequest, PrimaryRole, ShardCopy};
 use super::keeper::ProposeError;
 use super::map::{MapChange, ShardPlacement, VersionedMap, map_key};
 use super::primary::PrimaryState;
-use super::role::{HeldRole, RoleChange, decide_role};
+use super::role::{CurrentRole, RoleChange, decide_role};
 use crate::ids::{InstanceRef, ShardEpoch, ShardId};
 use crate::keyvalue::KeyValueError;
 
@@ -50,11 +50,11 @@
 }
 
 impl CopyState {
-    fn held(&self) -> HeldRole {
+    fn held(&self) -> CurrentRole {
         match self {
-            Self::Absent => HeldRole::Absent,
-            Self::Backup(copy) => HeldRole::Backup(copy.epoch()),
-            Self::Primary(primary) => HeldRole::Primary(primary.epoch()),
+            Self::Absent => CurrentRole::Absent,
+            Self::Backup(copy) => CurrentRole::Backup(copy.epoch()),
+            Self::Primary(primary) => CurrentRole::Primary(primary.epoch()),
         }
     }
 }
@@ -80,7 +80,7 @@
             tokio::select! {
                 () = context.stop.cancelled() => return,
                 _ = maps.changed() => self.reconcile().await,
-                count = inbox.recv_many(&mut commands, context.settings.batch) => {
+                count = inbox.recv_many(&mut commands, context.settings.max_batch) => {
                     if count == 0 {
                         return;
                     }
@@ -91,10 +91,10 @@
         }
     }
 
-    fn held(&self) -> HeldRole {
+    fn held(&self) -> CurrentRole {
         let recovered = self.context.recovered_position(&self.shard);
         match (&self.state, recovered) {
-            (CopyState::Absent, Some((epoch, _))) => HeldRole::Recovered(epoch),
+            (CopyState::Absent, Some((epoch, _))) => CurrentRole::Recovered(epoch),
             (state, _) => state.held(),
         }
     }
@@ -273,7 +273,7 @@
         // What was found at the start is out of date now.
         self.context.take_recovered(&self.shard);
         store
-            .replace(&self.shard, copy.epoch(), copy.position(), copy.book())
+            .replace(&self.shard, copy.epoch(), copy.position(), copy.table())
             .await;
     }
 
@@ -402,7 +402,7 @@
         match &self.state {
             CopyState::Absent => empty("absent", 0, 0),
             CopyState::Backup(copy) => CopyDump {
-                book: Some(copy.book().summary()),
+                book: Some(copy.table().summary()),
                 ..empty("backup", copy.epoch(), copy.position().index)
             },
             CopyState::Primary(primary) => primary.dump(),
@@ -455,15 +455,15 @@
     match command {
         ShardCommand::Begin(_, reply) => drop(reply.send(None)),
         ShardCommand::End(_, _, reply) => drop(reply.send(None)),
-        ShardCommand::Call(call) => drop(call.reply.send(CallReply::Moved)),
-        ShardCommand::Inspect(_, _, InspectQuestion::Call(_, reply)) => {
-            drop(reply.send(CallReply::Moved));
+        ShardCommand::Call(call) => drop(call.reply.send(CallReply::NotPrimary)),
+        ShardCommand::Query(_, _, ProgramQuery::Call(_, reply)) => {
+            drop(reply.send(CallReply::NotPrimary));
         }
         ShardCommand::Append(_, reply) | ShardCommand::Install(_, reply) => {
             let _ = reply.send(AppendReply::Stale);
         }
-        ShardCommand::Inspect(..)
-        | ShardCommand::Done(_)
+        ShardCommand::Query(..)
+        | ShardCommand::DispatchFinished(_)
         | ShardCommand::Released(..)
         | ShardCommand::AuditHold(..)
         | ShardCommand::Drain
--- a/src/shard/command.rs
+++ b/src/shard/command.rs
@@ -9,7 +9,7 @@
 use super::stream::StreamBuffer;
 use crate::contract::{BeginReply, CallSpec, HistoryReply, ProgramReply, Refusal};
 use crate::ids::{OrganisationId, ProgramId, SequenceNumber, ShardEpoch, TokenCount, UpstreamName};
-use crate::program::{BodyDigest, BookSummary, CallOutcome, ProgramBegin};
+use crate::program::{BodyDigest, CallOutcome, ProgramBegin, TableSummary};
 
 /// The answer to a call.
 #[derive(Clone, Debug)]
@@ -21,7 +21,7 @@
     /// Refused, without a stored outcome.
     Refused(Refusal),
     /// This copy is not the primary's any more; find the primary again.
-    Moved,
+    NotPrimary,
 }
 
 /// A call from a caller.
@@ -43,7 +43,7 @@
 
 /// What became of a dispatch.
 #[derive(Clone, Debug)]
-pub struct DispatchDone {
+pub struct DispatchResult {
     /// The program.
     pub program: ProgramId,
     /// Number of the call.
@@ -60,7 +60,7 @@
 
 /// A question about a program that changes nothing.
 #[derive(Debug)]
-pub enum InspectQuestion {
+pub enum ProgramQuery {
     /// The program's state.
     Program(oneshot::Sender<Result<ProgramReply, Refusal>>),
     /// Its conversation.
@@ -88,7 +88,7 @@
     /// Calls under way.
     pub running_calls: usize,
     /// Programs in numbers.
-    pub book: Option<BookSummary>,
+    pub book: Option<TableSummary>,
 }
 
 /// A command to the task that owns a copy.
@@ -102,7 +102,7 @@
     /// Call.
     Call(Box<CallCommand>),
     /// Ask about a program.
-    Inspect(ProgramId, OrganisationId, InspectQuestion),
+    Query(ProgramId, OrganisationId, ProgramQuery),
     /// End a program.
     End(
         ProgramId,
@@ -110,8 +110,8 @@
         oneshot::Sender<Option<Result<ProgramReply, Refusal>>>,
     ),
     /// A dispatch has ended.
-    Done(Box<DispatchDone>),
-    /// An engine lists a hold; have it released unless the book has it.
+    DispatchFinished(Box<DispatchResult>),
+    /// An engine lists a hold; have it released unless the table has it.
     AuditHold(ProgramId, UpstreamName),
     /// An engine has confirmed that it keeps a program's prefix no longer.
     Released(ProgramId, UpstreamName),
--- a/src/shard/context.rs
+++ b/src/shard/context.rs
@@ -13,7 +13,7 @@
 
 use super::command::ShardCommand;
 use super::copy::LogPosition;
-use super::keeper::MapKeeper;
+use super::keeper::MapCache;
 use super::stream::StreamBuffer;
 use crate::contract::{ChatMessage, Refusal};
 use crate::ids::{ClassName, OrganisationId, ProgramId, ShardEpoch, ShardId, UpstreamName};
@@ -32,15 +32,15 @@
     /// Backups wanted in other failure domains.
     pub remote_backups: usize,
     /// Most commands answered by one append.
-    pub batch: usize,
+    pub max_batch: usize,
     /// Longest wait for a backup's answer.
     pub append_timeout: Duration,
     /// Time between two looks at what is due.
     pub tick: Duration,
     /// How long an ended program is remembered.
-    pub remember: Duration,
+    pub retention: Duration,
     /// Longest time an engine keeps a prefix over a pause.
-    pub longest_hold: Duration,
+    pub max_hold: Duration,
 }
 
 impl Default for ShardSettings {
@@ -48,11 +48,11 @@
         Self {
             local_backups: 1,
             remote_backups: 1,
-            batch: 256,
+            max_batch: 256,
             append_timeout: Duration::from_millis(500),
             tick: Duration::from_millis(200),
-            remember: Duration::from_mins(10),
-            longest_hold: Duration::from_mins(1),
+            retention: Duration::from_mins(10),
+            max_hold: Duration::from_mins(1),
         }
     }
 }
@@ -81,7 +81,7 @@
     /// Time since the program's last answer.
     pub pause: Duration,
     /// Engine that held the prefix over the pause.
-    pub held_at: Option<UpstreamName>,
+    pub holding_upstream: Option<UpstreamName>,
     /// Times that an upstream has failed the call here.
     pub failures: u32,
     /// Whether an earlier process may have dispatched the call.
@@ -105,7 +105,7 @@
     fn dispatch(&self, job: DispatchJob);
 
     /// Decides whether an engine should keep the prefix of a program that pauses.
-    fn wants_hold(&self, class: &ClassName, upstream: &UpstreamName, tokens: u64) -> bool;
+    fn should_hold(&self, class: &ClassName, upstream: &UpstreamName, tokens: u64) -> bool;
 
     /// Asks an engine to keep a program's prefix.
     fn hold(&self, program: ProgramId, upstream: UpstreamName);
@@ -146,7 +146,7 @@
     /// The platform.
     pub key_value: KeyValueClient,
     /// The shard maps.
-    pub maps: Arc<MapKeeper>,
+    pub maps: Arc<MapCache>,
     /// The configuration in force.
     pub config: Arc<ArcSwap<ConfigView>>,
     /// Where dispatches go.
--- a/src/shard/copy.rs
+++ b/src/shard/copy.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{LogIndex, ShardEpoch, ShardId};
-use crate::program::{LogEntry, ShardBook};
+use crate::program::{LogEntry, ProgramTable};
 use crate::storage::RecoveredCopy;
 
 /// A place in a shard's log: the index with the epoch whose primary wrote the entry there.
@@ -45,7 +45,7 @@
     /// Last place of the copy.
     pub position: LogPosition,
     /// The copy.
-    pub book: ShardBook,
+    pub table: ProgramTable,
 }
 
 /// What became of entries or a copy.
@@ -74,7 +74,7 @@
     /// Epoch of the primary that the copy was last brought in line with.
     epoch: ShardEpoch,
     position: LogPosition,
-    book: ShardBook,
+    table: ProgramTable,
 }
 
 impl<Role> ShardCopy<Role> {
@@ -92,8 +92,8 @@
 
     /// Returns the programs.
     #[must_use]
-    pub fn book(&self) -> &ShardBook {
-        &self.book
+    pub fn table(&self) -> &ProgramTable {
+        &self.table
     }
 
     fn into_role<NewRole>(self) -> ShardCopy<NewRole> {
@@ -101,7 +101,7 @@
             role: PhantomData,
             epoch: self.epoch,
             position: self.position,
-            book: self.book,
+            table: self.table,
         }
     }
 }
@@ -114,7 +114,7 @@
             role: PhantomData,
             epoch,
             position: LogPosition::default(),
-            book: ShardBook::default(),
+            table: ProgramTable::default(),
         }
     }
 
@@ -125,7 +125,7 @@
             role: PhantomData,
             epoch: request.epoch,
             position: request.position,
-            book: request.book,
+            table: request.table,
         }
     }
 
@@ -136,7 +136,7 @@
             role: PhantomData,
             epoch: copy.epoch,
             position: copy.position,
-            book: copy.book,
+            table: copy.table,
         }
     }
 
@@ -154,7 +154,7 @@
         };
         self.epoch = request.epoch;
         for entry in &request.entries[known..] {
-            self.book.apply(entry);
+            self.table.apply(entry);
             self.position = LogPosition {
                 index: self.position.index + 1,
                 epoch: request.epoch,
@@ -208,7 +208,7 @@
     ///
     /// Its effects must not be exposed before every backup of the epoch has stored it.
     pub fn write(&mut self, entry: &LogEntry) {
-        self.book.apply(entry);
+        self.table.apply(entry);
         self.position = LogPosition {
             index: self.position.index + 1,
             epoch: self.epoch,
@@ -227,7 +227,7 @@
             shard: shard.clone(),
             epoch,
             position: self.position,
-            book: self.book.clone(),
+            table: self.table.clone(),
         }
     }
 
@@ -290,7 +290,7 @@
             shard: request(1, LogPosition::default(), 0).shard,
             epoch: 2,
             position: LogPosition { index, epoch: 2 },
-            book: ShardBook::default(),
+            table: ProgramTable::default(),
         };
         assert_eq!(copy.install(whole(5)), AppendReply::Stored);
         assert_eq!(copy.install(whole(4)), AppendReply::Stale);
--- a/src/shard/keeper.rs
+++ b/src/shard/keeper.rs
@@ -58,7 +58,7 @@
 
 /// The maps that this instance knows.
 #[derive(Debug)]
-pub struct MapKeeper {
+pub struct MapCache {
     maps: ArcSwap<KnownMaps>,
     /// Older maps, oldest first; the lock is held by whoever stores a newer one.
     older: Mutex<OlderMaps>,
@@ -76,7 +76,7 @@
     }
 }
 
-impl MapKeeper {
+impl MapCache {
     /// Starts a keeper with its task for changes; to be called inside a tokio runtime.
     #[must_use]
     pub fn start(key_value: KeyValueClient, writer: &str, stop: CancellationToken) -> Arc<Self> {
@@ -203,7 +203,7 @@
 }
 
 struct MapProposer {
-    keeper: Arc<MapKeeper>,
+    keeper: Arc<MapCache>,
     key_value: KeyValueClient,
     writer: String,
     attempts: u64,
@@ -251,7 +251,7 @@
                 Err(error) => return answer_all(batch, &error.into()),
             }
         }
-        answer_all(batch, &MapConflict::Moved.into());
+        answer_all(batch, &MapConflict::EpochChanged.into());
     }
 
     fn changed_map(
@@ -266,7 +266,7 @@
             .map(|proposal| {
                 let index = usize::from(proposal.shard.index);
                 let placement = next.shards.get_mut(index).ok_or(MapConflict::WrongMember)?;
-                let changed = placement.changed(proposal.expected, &proposal.change)?;
+                let changed = placement.with_change(proposal.expected, &proposal.change)?;
                 *placement = changed.clone();
                 Ok(changed)
             })
--- a/src/shard/map.rs
+++ b/src/shard/map.rs
@@ -32,7 +32,7 @@
 impl ShardPlacement {
     /// Returns whether the instance has a copy.
     #[must_use]
-    pub fn holds(&self, instance: &InstanceRef) -> bool {
+    pub fn has_member(&self, instance: &InstanceRef) -> bool {
         self.primary == *instance || self.backups.contains(instance)
     }
 }
@@ -136,7 +136,7 @@
 pub enum MapConflict {
     /// The shard's placement has changed since.
     #[error("the placement has changed; look at the new one and decide again")]
-    Moved,
+    EpochChanged,
     /// The instance has no copy, or has one already.
     #[error("the instance's copy is not as the change supposes; look at the placement again")]
     WrongMember,
@@ -148,9 +148,13 @@
     /// # Errors
     ///
     /// Returns [`MapConflict`] where the placement has changed or does not fit the change.
-    pub fn changed(&self, expected: ShardEpoch, change: &MapChange) -> Result<Self, MapConflict> {
+    pub fn with_change(
+        &self,
+        expected: ShardEpoch,
+        change: &MapChange,
+    ) -> Result<Self, MapConflict> {
         if self.epoch != expected {
-            return Err(MapConflict::Moved);
+            return Err(MapConflict::EpochChanged);
         }
         let mut next = self.clone();
         next.epoch += 1;
@@ -167,7 +171,7 @@
                 next.backups.retain(|one| !dropped.contains(one));
             }
             MapChange::AddBackup(added) => {
-                if self.holds(added) {
+                if self.has_member(added) {
                     return Err(MapConflict::WrongMember);
                 }
                 next.backups.push(added.clone());
@@ -275,7 +279,7 @@
         newer.map.attempt = "x".into();
         let change = MapChange::HandOver(older.map.shards[2].backups[0].clone());
         newer.map.shards[2] = older.map.shards[2]
-            .changed(1, &change)
+            .with_change(1, &change)
             .expect("a fitting change");
         let delta = newer.delta_from(&older);
         assert_eq!(delta.changes.len(), 1);
@@ -292,10 +296,13 @@
             without: vec![local[0].clone()],
         };
         let taken = map.shards[0]
-            .changed(1, &change)
+            .with_change(1, &change)
             .expect("the first change fits");
         assert_eq!(taken.primary, local[1]);
         assert!(taken.backups.is_empty());
-        assert_eq!(taken.changed(1, &change), Err(MapConflict::Moved));
+        assert_eq!(
+            taken.with_change(1, &change),
+            Err(MapConflict::EpochChanged)
+        );
     }
 }
--- a/src/shard/mod.rs
+++ b/src/shard/mod.rs
@@ -14,17 +14,17 @@
 mod role;
 mod stream;
 
-pub use command::{CallCommand, CallReply, CopyDump, DispatchDone, InspectQuestion, ShardCommand};
+pub use command::{CallCommand, CallReply, CopyDump, DispatchResult, ProgramQuery, ShardCommand};
 pub use context::{DispatchJob, DispatchSink, ShardContext, ShardCounters, ShardSettings};
 pub use copy::{
     AppendReply, AppendRequest, BackupRole, InstallRequest, LogPosition, PrimaryRole, ShardCopy,
 };
-pub use keeper::{MapKeeper, ProposeError};
+pub use keeper::{MapCache, ProposeError};
 pub use map::{
     DomainMap, MAP_PREFIX, MapChange, MapConflict, MapDelta, ShardPlacement, VersionedMap,
     initial_map, map_key,
 };
-pub use role::{HeldRole, RoleChange, decide_role};
+pub use role::{CurrentRole, RoleChange, decide_role};
 pub use stream::{StreamBuffer, StreamRead, StreamReader};
 
 pub use actor::spawn_copy;
--- a/src/shard/primary.rs
+++ b/src/shard/primary.rs
@@ -120,7 +120,7 @@
             backups: self.backups.iter().map(ToSmolStr::to_smolstr).collect(),
             detached: self.detached,
             running_calls: self.running.len(),
-            book: Some(self.copy.book().summary()),
+            book: Some(self.copy.table().summary()),
         }
     }
 }
--- a/src/shard/primary/replicate.rs
+++ b/src/shard/primary/replicate.rs
@@ -88,7 +88,7 @@
         };
         if position.index / ENTRIES_PER_COPY != previous.index / ENTRIES_PER_COPY {
             store
-                .replace(&self.shard, self.copy.epoch(), position, self.copy.book())
+                .replace(&self.shard, self.copy.epoch(), position, self.copy.table())
                 .await;
         }
     }
@@ -98,7 +98,7 @@
         if let Some(store) = &self.context.store {
             let position = self.copy.position();
             store
-                .replace(&self.shard, self.copy.epoch(), position, self.copy.book())
+                .replace(&self.shard, self.copy.epoch(), position, self.copy.table())
                 .await;
         }
     }
@@ -120,7 +120,7 @@
         };
         let doubtful: Vec<InstanceRef> = missing
             .iter()
-            .filter(|one| !placement.holds(one))
+            .filter(|one| !placement.has_member(one))
             .cloned()
             .collect();
         if doubtful.is_empty() {
--- a/src/shard/primary/stage.rs
+++ b/src/shard/primary/stage.rs
@@ -10,11 +10,11 @@
 use crate::ids::{OrganisationId, ProgramId, SequenceNumber, TokenCount, UpstreamName};
 use crate::program::{
     BeginDecision, CallArrival, CallDecision, CallIntent, CallOutcome, CallPhase, CallResult,
-    EndDecision, EngineHold, LogEntry, ProgramBegin, ProgramRecord, begin_program, end_program,
-    place_call,
+    EndDecision, EngineHold, LogEntry, ProgramBegin, ProgramRecord, decide_begin, decide_call,
+    decide_end,
 };
 use crate::shard::actor::answer_moved;
-use crate::shard::command::{CallCommand, CallReply, DispatchDone, InspectQuestion, ShardCommand};
+use crate::shard::command::{CallCommand, CallReply, DispatchResult, ProgramQuery, ShardCommand};
 use crate::shard::context::DispatchJob;
 use crate::shard::stream::StreamBuffer;
 
@@ -102,7 +102,7 @@
 
     fn write(&mut self, entry: LogEntry, batch: &mut StagedBatch) {
         if let LogEntry::End(end) = &entry
-            && let Some(record) = self.copy.book().program(&end.program)
+            && let Some(record) = self.copy.table().program(&end.program)
         {
             for upstream in &record.holds {
                 let release = StagedAction::Release(end.program.clone(), upstream.clone());
@@ -126,19 +126,19 @@
             ShardCommand::End(program, organisation, reply) => {
                 self.stage_end(&program, &organisation, reply, now, batch);
             }
-            ShardCommand::Inspect(program, organisation, question) => {
+            ShardCommand::Query(program, organisation, question) => {
                 self.answer_question(&program, &organisation, question);
             }
-            ShardCommand::Done(done) => self.stage_done(*done, now, batch),
+            ShardCommand::DispatchFinished(done) => self.stage_done(*done, now, batch),
             ShardCommand::Released(program, upstream) => {
                 self.holds.remove(&(program.clone(), upstream.clone()));
-                let known = self.copy.book().program(&program);
+                let known = self.copy.table().program(&program);
                 if known.is_some_and(|record| record.holds.contains(&upstream)) {
                     self.write(LogEntry::Release(EngineHold { program, upstream }), batch);
                 }
             }
             ShardCommand::AuditHold(program, upstream) => {
-                let known = self.copy.book().program(&program);
+                let known = self.copy.table().program(&program);
                 if !known.is_some_and(|record| record.holds.contains(&upstream)) {
                     batch.actions.push(StagedAction::Release(program, upstream));
                 }
@@ -157,7 +157,7 @@
         batch: &mut StagedBatch,
     ) {
         let program = begin.program.clone();
-        let answer = match begin_program(self.copy.book(), begin) {
+        let answer = match decide_begin(self.copy.table(), begin) {
             BeginDecision::Accept(_, _) if self.draining => {
                 let detail = "the instance is shutting down";
                 Err(Refusal::not_run(RefusalKind::ShuttingDown, detail)
@@ -197,7 +197,7 @@
         now: SystemTime,
         batch: &mut StagedBatch,
     ) {
-        let answer = match end_program(self.copy.book(), program, organisation, now) {
+        let answer = match decide_end(self.copy.table(), program, organisation, now) {
             EndDecision::Accept(entries) => {
                 for entry in entries {
                     self.write(entry, batch);
@@ -216,7 +216,7 @@
         organisation: &OrganisationId,
     ) -> Result<&ProgramRecord, Refusal> {
         self.copy
-            .book()
+            .table()
             .program(program)
             .filter(|record| record.begin.organisation == *organisation)
             .ok_or_else(|| Refusal::unknown(RefusalKind::UnknownProgram, "no such program"))
@@ -246,13 +246,13 @@
         &self,
         program: &ProgramId,
         organisation: &OrganisationId,
-        question: InspectQuestion,
+        question: ProgramQuery,
     ) {
         match question {
-            InspectQuestion::Program(reply) => {
+            ProgramQuery::Program(reply) => {
                 let _ = reply.send(self.program_reply(program, organisation));
             }
-            InspectQuestion::History(reply) => {
+            ProgramQuery::History(reply) => {
                 let history = self
                     .visible(program, organisation)
                     .map(|record| HistoryReply {
@@ -260,7 +260,7 @@
                     });
                 let _ = reply.send(history);
             }
-            InspectQuestion::Call(sequence, reply) => {
+            ProgramQuery::Call(sequence, reply) => {
                 let _ = reply.send(self.late_answer(program, organisation, sequence));
             }
         }
@@ -309,9 +309,9 @@
 
     fn arrival(&self, call: &CallCommand, key: &CallKey, now: SystemTime) -> CallArrival {
         let config = self.context.config.load();
-        let book = self.copy.book();
+        let table = self.copy.table();
         let organisation = config.organisation(&call.organisation);
-        let class = book
+        let class = table
             .program(&call.program)
             .map(|record| record.begin.class.clone());
         let class = class.unwrap_or_default();
@@ -324,9 +324,9 @@
             organisation: call.organisation.clone(),
             organisation_left: self.share_left(
                 organisation.and_then(|spec| spec.tokens),
-                book.organisation_used(&call.organisation),
+                table.organisation_used(&call.organisation),
             ),
-            class_left: self.share_left(class_tokens, book.class_used(&class)),
+            class_left: self.share_left(class_tokens, table.class_used(&class)),
             epoch: self.copy.epoch(),
             running_here: self.running.contains_key(key),
             now,
@@ -336,7 +336,7 @@
     fn stage_call(&mut self, call: CallCommand, now: SystemTime, batch: &mut StagedBatch) {
         let key = (call.program.clone(), call.sequence);
         let arrival = self.arrival(&call, &key, now);
-        let decision = place_call(self.copy.book(), &arrival);
+        let decision = decide_call(self.copy.table(), &arrival);
         let answer = match decision {
             CallDecision::Accept(intent) => {
                 if let Some(refusal) = self.refuse_intent(&intent) {
@@ -348,7 +348,7 @@
             }
             CallDecision::Join => {
                 let running = self.running.get(&key);
-                running.map_or(CallReply::Moved, |call| {
+                running.map_or(CallReply::NotPrimary, |call| {
                     CallReply::Stream(call.stream.clone())
                 })
             }
@@ -392,7 +392,7 @@
             CallSpec::Service(call) if config.serves_service(&call.service) => return None,
             CallSpec::Service(call) => format!("no record names the service `{}`", call.service),
             CallSpec::Model(call) => {
-                let record = self.copy.book().program(&intent.program)?;
+                let record = self.copy.table().program(&intent.program)?;
                 let model = config.wanted_model(call.model.as_ref(), &record.begin.class)?;
                 if config.serves_model(&model) {
                     return None;
@@ -418,7 +418,7 @@
             cancel: cancel.clone(),
             idempotent,
         };
-        if let Some(record) = self.copy.book().program(&key.0) {
+        if let Some(record) = self.copy.table().program(&key.0) {
             let job = DispatchJob {
                 shard: self.shard.clone(),
                 epoch: self.copy.epoch(),
@@ -432,7 +432,7 @@
                     .accepted
                     .duration_since(record.last_finished)
                     .unwrap_or_default(),
-                held_at: record.holds.first().cloned(),
+                holding_upstream: record.holds.first().cloned(),
                 failures: 0,
                 redispatch: again,
                 resolve_only: again && !idempotent,
@@ -447,7 +447,7 @@
         CallReply::Stream(stream)
     }
 
-    fn stage_done(&mut self, done: DispatchDone, now: SystemTime, batch: &mut StagedBatch) {
+    fn stage_done(&mut self, done: DispatchResult, now: SystemTime, batch: &mut StagedBatch) {
         let key = (done.program.clone(), done.sequence);
         let Some(running) = self.running.remove(&key) else {
             return;
@@ -467,8 +467,8 @@
     }
 
     /// Decides whether the engine that has just served a program keeps its prefix.
-    fn stage_hold(&mut self, done: &DispatchDone, batch: &mut StagedBatch) {
-        let Some(record) = self.copy.book().program(&done.program) else {
+    fn stage_hold(&mut self, done: &DispatchResult, batch: &mut StagedBatch) {
+        let Some(record) = self.copy.table().program(&done.program) else {
             return;
         };
         let Some(upstream) = done.hold.clone() else {
@@ -480,7 +480,7 @@
             _ => 0,
         };
         let wanted =
-            record.is_running() && self.context.dispatch.wants_hold(&class, &upstream, tokens);
+            record.is_running() && self.context.dispatch.should_hold(&class, &upstream, tokens);
         let others: Vec<UpstreamName> = record
             .holds
             .iter()
@@ -537,7 +537,7 @@
     fn refuse_moved(self) {
         match self {
             Self::Begin(reply, _) => drop(reply.send(None)),
-            Self::Call(reply, _) => drop(reply.send(CallReply::Moved)),
+            Self::Call(reply, _) => drop(reply.send(CallReply::NotPrimary)),
             Self::End(reply, _) => drop(reply.send(None)),
             Self::Finish(stream, _) => stream.close(),
             Self::Dispatch(job) => job.stream.close(),
--- a/src/shard/primary/tenure.rs
+++ b/src/shard/primary/tenure.rs
@@ -40,7 +40,7 @@
         self.persist_whole().await;
         let now = Instant::now();
         let mut ended = Vec::new();
-        for (program, record) in self.copy.book().programs() {
+        for (program, record) in self.copy.table().programs() {
             for upstream in &record.holds {
                 let hold = (program.clone(), upstream.clone());
                 if record.is_running() {
@@ -68,8 +68,8 @@
         self.release_old_holds();
         if self.swept.elapsed() >= SWEEP_INTERVAL {
             self.swept = Instant::now();
-            let remember = self.context.settings.remember;
-            let entries = sweep_expired(self.copy.book(), SystemTime::now(), remember);
+            let retention = self.context.settings.retention;
+            let entries = sweep_expired(self.copy.table(), SystemTime::now(), retention);
             self.commit_quietly(entries).await?;
         }
         if self.repaired.elapsed() >= REPAIR_INTERVAL {
@@ -123,10 +123,10 @@
     }
 
     fn release_old_holds(&mut self) {
-        let longest = self.context.settings.longest_hold;
+        let longest = self.context.settings.max_hold;
         let busy = |program: &ProgramId| {
             self.copy
-                .book()
+                .table()
                 .program(program)
                 .is_some_and(ProgramRecord::is_busy)
         };
--- a/src/shard/role.rs
+++ b/src/shard/role.rs
@@ -5,7 +5,7 @@
 
 /// Role of a copy with the epochs that the decision looks at.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum HeldRole {
+pub enum CurrentRole {
     /// No copy.
     Absent,
     /// No copy of this process, but a complete one of an earlier process on the disk.
@@ -42,34 +42,34 @@
 /// A copy of a newer epoch than the placement's is kept: its instance knows of a newer map already,
 /// or was sent the copy before the map could list it.
 #[must_use]
-pub fn decide_role(held: HeldRole, placement: &ShardPlacement, me: &InstanceRef) -> RoleChange {
+pub fn decide_role(held: CurrentRole, placement: &ShardPlacement, me: &InstanceRef) -> RoleChange {
     let begins_empty = placement.empty_epoch == placement.epoch;
     if placement.primary == *me {
         return match held {
-            HeldRole::Primary(_) => RoleChange::Adopt,
-            HeldRole::Backup(epoch) if epoch >= placement.epoch => RoleChange::Keep,
-            HeldRole::Backup(_) => RoleChange::Promote,
-            HeldRole::Absent | HeldRole::Recovered(_) if begins_empty => {
+            CurrentRole::Primary(_) => RoleChange::Adopt,
+            CurrentRole::Backup(epoch) if epoch >= placement.epoch => RoleChange::Keep,
+            CurrentRole::Backup(_) => RoleChange::Promote,
+            CurrentRole::Absent | CurrentRole::Recovered(_) if begins_empty => {
                 RoleChange::StartEmptyPrimary
             }
-            HeldRole::Recovered(epoch) if epoch < placement.epoch => RoleChange::Restore,
-            HeldRole::Absent | HeldRole::Recovered(_) => RoleChange::Keep,
+            CurrentRole::Recovered(epoch) if epoch < placement.epoch => RoleChange::Restore,
+            CurrentRole::Absent | CurrentRole::Recovered(_) => RoleChange::Keep,
         };
     }
     let listed = placement.backups.contains(me);
     match held {
-        HeldRole::Primary(epoch) | HeldRole::Backup(epoch) if epoch > placement.epoch => {
+        CurrentRole::Primary(epoch) | CurrentRole::Backup(epoch) if epoch > placement.epoch => {
             RoleChange::Keep
         }
-        HeldRole::Absent | HeldRole::Recovered(_) if listed && begins_empty => {
+        CurrentRole::Absent | CurrentRole::Recovered(_) if listed && begins_empty => {
             RoleChange::StartEmptyBackup
         }
-        HeldRole::Recovered(_) if !placement.members().any(|one| one.name == me.name) => {
+        CurrentRole::Recovered(_) if !placement.members().any(|one| one.name == me.name) => {
             RoleChange::Drop
         }
-        HeldRole::Absent | HeldRole::Recovered(_) => RoleChange::Keep,
+        CurrentRole::Absent | CurrentRole::Recovered(_) => RoleChange::Keep,
         _ if !listed => RoleChange::Drop,
-        HeldRole::Primary(_) => RoleChange::StepDown,
-        HeldRole::Backup(_) => RoleChange::Keep,
+        CurrentRole::Primary(_) => RoleChange::StepDown,
+        CurrentRole::Backup(_) => RoleChange::Keep,
     }
 }
--- a/src/storage/store.rs
+++ b/src/storage/store.rs
@@ -15,7 +15,7 @@
 
 use super::writer::{DiskWriter, WriteJob};
 use crate::ids::{ShardEpoch, ShardId};
-use crate::program::{LogEntry, ShardBook};
+use crate::program::{LogEntry, ProgramTable};
 use crate::shard::LogPosition;
 
 /// File of the database within the data folder.
@@ -56,7 +56,7 @@
 struct StoredCopy {
     epoch: ShardEpoch,
     position: LogPosition,
-    book: ShardBook,
+    table: ProgramTable,
 }
 
 /// An entry as it is stored.
@@ -76,7 +76,7 @@
     /// Last place of the copy.
     pub position: LogPosition,
     /// The programs.
-    pub book: ShardBook,
+    pub table: ProgramTable,
 }
 
 /// The database of an instance's copies; cloning it gives another handle to the same one.
@@ -185,12 +185,12 @@
         shard: &ShardId,
         epoch: ShardEpoch,
         position: LogPosition,
-        book: &ShardBook,
+        table: &ProgramTable,
     ) {
         let stored = StoredCopy {
             epoch,
             position,
-            book: book.clone(),
+            table: table.clone(),
         };
         match seal(&stored) {
             Ok(row) => self.write(WriteJob::Replace(shard.to_smolstr(), row)).await,
@@ -266,7 +266,7 @@
             shard,
             epoch: stored.epoch,
             position: stored.position,
-            book: stored.book,
+            table: stored.table,
         };
         let range = (name, copy.position.index + 1)..=(name, u64::MAX);
         let mut whole = true;
@@ -302,7 +302,7 @@
         if index != self.position.index + 1 {
             return false;
         }
-        self.book.apply(&stored.entry);
+        self.table.apply(&stored.entry);
         self.epoch = stored.epoch;
         self.position = LogPosition {
             epoch: stored.epoch,
@@ -341,7 +341,7 @@
         assert!(recovered.is_empty());
         let start = LogPosition { epoch: 1, index: 7 };
         store
-            .replace(&shard(), 1, start, &ShardBook::default())
+            .replace(&shard(), 1, start, &ProgramTable::default())
             .await;
         let entries = [LogEntry::Forget("p".into()), LogEntry::Forget("q".into())];
         store.append(&shard(), start, 2, &entries).await;
--- a/src/upstream/runner.rs
+++ b/src/upstream/runner.rs
@@ -20,7 +20,7 @@
 use crate::program::CallOutcome;
 use crate::record::{ConfigView, UpstreamKind};
 use crate::scheduler::{CallQueue, ChosenJob};
-use crate::shard::{DispatchDone, DispatchJob, DispatchSink, ShardCommand};
+use crate::shard::{DispatchJob, DispatchResult, DispatchSink, ShardCommand};
 
 /// Longest time between two passes while calls wait.
 const PASS_INTERVAL: Duration = Duration::from_millis(20);
@@ -156,7 +156,7 @@
         used: TokenCount,
         hold: Option<UpstreamName>,
     ) {
-        let done = DispatchDone {
+        let done = DispatchResult {
             program: job.intent.program,
             sequence: job.intent.sequence,
             epoch: job.epoch,
@@ -167,7 +167,9 @@
         let sender = job.done;
         self.inner.handle.spawn(async move {
             // A task that is gone has left the call to the next primary.
-            let _ = sender.send(ShardCommand::Done(Box::new(done))).await;
+            let _ = sender
+                .send(ShardCommand::DispatchFinished(Box::new(done)))
+                .await;
         });
     }
 
@@ -391,10 +393,10 @@
         self.inner.work.notify_one();
     }
 
-    fn wants_hold(&self, class: &ClassName, upstream: &UpstreamName, tokens: u64) -> bool {
+    fn should_hold(&self, class: &ClassName, upstream: &UpstreamName, tokens: u64) -> bool {
         self.inner
             .queue
-            .wants_hold(class, upstream, tokens, &self.inner.config.load())
+            .should_hold(class, upstream, tokens, &self.inner.config.load())
     }
 
     fn hold(&self, program: ProgramId, upstream: UpstreamName) {
--- a/tests/protocol_model/world.rs
+++ b/tests/protocol_model/world.rs
@@ -6,7 +6,7 @@
 use samphiregrade::ids::{InstanceRef, ProgramId, ShardEpoch, ShardId};
 use samphiregrade::program::{LogEntry, ProgramBegin, ProgramLimits};
 use samphiregrade::shard::{
-    AppendReply, AppendRequest, BackupRole, HeldRole, InstallRequest, LogPosition, MapChange,
+    AppendReply, AppendRequest, BackupRole, CurrentRole, InstallRequest, LogPosition, MapChange,
     PrimaryRole, RoleChange, ShardCopy, ShardPlacement, decide_role,
 };
 
@@ -235,11 +235,11 @@
 
     // Roles
 
-    fn held(&self, node: usize) -> HeldRole {
+    fn held(&self, node: usize) -> CurrentRole {
         match &self.nodes[node].role {
-            NodeRole::Absent => HeldRole::Absent,
-            NodeRole::Backup(copy) => HeldRole::Backup(copy.epoch()),
-            NodeRole::Primary(primary) => HeldRole::Primary(primary.copy.epoch()),
+            NodeRole::Absent => CurrentRole::Absent,
+            NodeRole::Backup(copy) => CurrentRole::Backup(copy.epoch()),
+            NodeRole::Primary(primary) => CurrentRole::Primary(primary.copy.epoch()),
         }
     }
 
@@ -382,15 +382,15 @@
         let Some(node) = self.index(&self.map.primary) else {
             return;
         };
-        let book = match &self.nodes[node].role {
+        let table = match &self.nodes[node].role {
             NodeRole::Absent => return,
-            NodeRole::Backup(copy) => copy.book(),
-            NodeRole::Primary(primary) => primary.copy.book(),
+            NodeRole::Backup(copy) => copy.table(),
+            NodeRole::Primary(primary) => primary.copy.table(),
         };
         let lost = self
             .exposed
             .iter()
-            .find(|program| book.program(program).is_none());
+            .find(|program| table.program(program).is_none());
         if let Some(lost) = lost {
             self.broken = Some(format!("{} is primary without {lost}", self.map.primary));
         }
@@ -435,7 +435,7 @@
         let Some(primary) = self.idle_primary(node) else {
             return;
         };
-        if primary.copy.book().program(&program).is_some() {
+        if primary.copy.table().program(&program).is_some() {
             // The stored outcome is returned, which must not be forgotten any more either.
             self.exposed.insert(program);
             return;
@@ -511,7 +511,7 @@
         let Some(primary) = self.idle_primary(node) else {
             return;
         };
-        let fits = !known.holds(&candidate) && primary.copy.epoch() == known.epoch;
+        let fits = !known.has_member(&candidate) && primary.copy.epoch() == known.epoch;
         if !fits || candidate == me {
             return;
         }
@@ -549,7 +549,7 @@
         } else {
             self.map.epoch
         };
-        if let Ok(next) = self.map.changed(expected, &swap.change) {
+        if let Ok(next) = self.map.with_change(expected, &swap.change) {
             self.map = next;
         }
     }
@@ -699,7 +699,7 @@
             return;
         }
         let fits = primary.copy.epoch() == known.epoch && epoch == known.epoch + 1;
-        if !fits || known.holds(&from) || waiting || !primary.aligned {
+        if !fits || known.has_member(&from) || waiting || !primary.aligned {
             return;
         }
         if settle {
