--- a/crates/samphiregrade-gateway/src/exchange/admission.rs
+++ b/crates/samphiregrade-gateway/src/exchange/admission.rs
@@ -1,4 +1,5 @@
-//! Letting a request in: who calls, whether that is known freshly enough, and whether the organisation may make it.
+//! Admission of a request: identifies the caller, checks that the known keys are recent enough, and enforces the
+//! request limit of the organisation.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,62 +14,64 @@
 use crate::model::{CallerCredential, ConfigVersion, RouteRecord};
 use crate::routing::RouteTable;
 
-/// Longest time after which a request over the limit is asked to come back: the window moves on all the while.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+/// Longest Retry-After time of a request over the limit: the sliding window frees capacity continuously.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Shortest such time.
-const SHORTEST_WAIT: Duration = Duration::from_millis(50);
+/// Shortest Retry-After time of a request over the limit.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Times that a request asks anew because others have taken what was granted for it.
-const GRANTS_TAKEN: usize = 3;
+/// Number of times that tokens are requested again because other requests took the granted ones.
+const GRANT_RETRIES: usize = 3;
 
-/// Pause between two tries to tell a home of what it doesn't know.
-const REPORT_PAUSE: Duration = Duration::from_millis(150);
+/// Pause before each attempt to report requests that were admitted standalone.
+const REPORT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Identifies the caller of a request, with the configuration as it is now.
+/// Identifies the caller of a request against the current configuration.
 ///
-/// What is proved is read before the configuration, which is then at least as new.
+/// The freshness is read before the configuration, so the configuration is at least as recent as the freshness says.
 pub(super) fn identify(
     context: &EntryContext,
     route: &RouteRecord,
     credential: &CallerCredential,
 ) -> Result<CallerIdentity, RefusalReason> {
     let now = BootTime::now();
-    let vouches = context.freshness.permits_known_keys(now);
-    let may_deny = context.freshness.permits_denial(now);
+    let permits_known_keys = context.freshness.permits_known_keys(now);
+    let permits_denial = context.freshness.permits_denial(now);
     let routes = context.routes.load();
     let table: &RouteTable = routes.as_ref().ok_or(RefusalReason::NoConfiguration)?;
     match table.identify(route, credential) {
-        Some(CallerIdentity::Known(_)) if !vouches => Err(RefusalReason::KeysUnproved),
+        Some(CallerIdentity::Known(_)) if !permits_known_keys => Err(RefusalReason::KeysUnproved),
         Some(caller) => Ok(caller),
-        None if may_deny => Err(RefusalReason::UnknownKey),
+        None if permits_denial => Err(RefusalReason::UnknownKey),
         None => Err(RefusalReason::KeysUnproved),
     }
 }
 
-/// Lets a request of an organisation in, or refuses it with a time to come back.
+/// Takes a token of the organisation's limit for a request, or refuses the request with a Retry-After time.
+///
+/// Returns `None` if the organisation has no limit.
 async fn admit(
     context: &Arc<EntryContext>,
     organisation: &Organisation,
     version: ConfigVersion,
-    begins: bool,
+    starts_program: bool,
 ) -> Result<Option<(LimitToken, TokenSource)>, Refusal> {
     let Some(limit) = &organisation.limit else {
         return Ok(None);
     };
-    let desk = &context.limits;
+    let limiter = &context.limits;
     let demand = TokenDemand {
         organisation: organisation.tag,
-        limit: WindowLimit::of(limit, desk.source.rule.window, version),
-        begins,
-        ahead: true,
+        limit: WindowLimit::of(limit, limiter.source.rule.window, version),
+        starts_program,
+        prefetch: true,
     };
-    let source = if desk.take_token(&demand) {
+    let source = if limiter.take_token(&demand) {
         TokenSource::Prefetched
     } else {
-        ask_for_one(context, &demand).await?
+        request_token(context, &demand).await?
     };
-    ask_ahead(context, demand);
+    prefetch_tokens(context, demand);
     let token = LimitToken {
         context: context.clone(),
         organisation: demand.organisation,
@@ -77,8 +80,10 @@
     Ok(Some((token, source)))
 }
 
-/// Lets a request in while something else is prepared for it; one that may well be refused comes first.
-pub(super) async fn admit_beside<Prepared>(
+/// Admits a request while `preparing` runs concurrently.
+///
+/// Near the organisation's limit, where a refusal is likely, the preparation starts only after the admission.
+pub(super) async fn admit_while_preparing<Prepared>(
     context: &Arc<EntryContext>,
     request: &mut RoutedRequest,
     record: &mut RequestRecord,
@@ -91,7 +96,7 @@
         context,
         &organisation,
         request.version,
-        request.begins_program(),
+        request.starts_program(),
     );
     let (admitted, prepared) = if context.limits.is_near_limit(organisation.tag) {
         (admitting.await?, preparing.await)
@@ -106,103 +111,110 @@
     Ok(prepared)
 }
 
-/// Asks for a token for a request that waits.
-async fn ask_for_one(
+/// Requests a token from the organisation's home for a waiting request.
+async fn request_token(
     context: &Arc<EntryContext>,
     demand: &TokenDemand,
 ) -> Result<TokenSource, Refusal> {
-    let desk = &context.limits;
-    if let Some((wait, use_then)) = desk.refused_for(demand) {
-        return Err(over_limit(wait, use_then));
+    let limiter = &context.limits;
+    if let Some((wait, window_use)) = limiter.refused_for(demand) {
+        return Err(over_limit_refusal(wait, window_use));
     }
-    let waiting = WaitingRequest::begin(desk, demand.organisation);
-    let mut asked = ask_home(context, demand).await;
-    // Others that came later may have taken what was granted for this one.
-    for _ in 0..GRANTS_TAKEN {
-        let Some(AskedHome { covers: true, .. }) = asked else {
+    let waiting = WaitingRequest::begin(limiter, demand.organisation);
+    let mut reply = request_grant(context, demand).await;
+    // Requests that arrived later may have taken the tokens granted for this one.
+    for _ in 0..GRANT_RETRIES {
+        let Some(HomeReply {
+            covers_waiting: true,
+            ..
+        }) = reply
+        else {
             break;
         };
-        if desk.take_token(demand) {
+        if limiter.take_token(demand) {
             return Ok(TokenSource::Home);
         }
-        asked = ask_home(context, demand).await;
+        reply = request_grant(context, demand).await;
     }
     drop(waiting);
-    let Some(AskedHome { grant, .. }) = asked else {
-        if !desk.take_standalone(demand.organisation) {
+    let Some(HomeReply { grant, .. }) = reply else {
+        if !limiter.take_standalone(demand.organisation) {
             return Err(RefusalReason::LimitUnproved.into());
         }
-        report_alone(context, *demand);
+        report_standalone_uses(context, *demand);
         return Ok(TokenSource::Standalone);
     };
-    if desk.take_token(demand) {
+    if limiter.take_token(demand) {
         return Ok(TokenSource::Home);
     }
-    desk.record_refusal(demand, &grant);
+    limiter.record_refusal(demand, &grant);
     let wait = grant.retry_after;
-    Err(over_limit(wait, grant.use_now))
+    Err(over_limit_refusal(wait, grant.use_now))
 }
 
-/// Asks for tokens in advance where none is left, so that the next request needs not wait for one.
-fn ask_ahead(context: &Arc<EntryContext>, demand: TokenDemand) {
+/// Prefetches tokens if none is left, so that the next request does not have to wait for one.
+fn prefetch_tokens(context: &Arc<EntryContext>, demand: TokenDemand) {
     if !context.limits.begins_prefetch(demand.organisation) {
         return;
     }
     let context = context.clone();
     tokio::spawn(async move {
-        // Without an answer the next request asks.
-        let asked = ask_home(&context, &demand).await;
+        // If no home replies, the next request requests tokens again.
+        let reply = request_grant(&context, &demand).await;
         context.limits.end_prefetch(demand.organisation);
-        let Some(AskedHome { grant, .. }) = asked else {
+        let Some(HomeReply { grant, .. }) = reply else {
             return;
         };
         tokio::time::sleep(grant.lasts).await;
         if context.limits.has_lapsed_tokens(demand.organisation) {
-            // What was not used counts until the home is told.
-            let _ = ask_home(&context, &demand.report()).await;
+            // Unused tokens count against the limit until they are reported to the home.
+            let _ = request_grant(&context, &demand.report()).await;
         }
     });
 }
 
-/// What a home answered.
-struct AskedHome {
+/// Reply of an organisation's home.
+struct HomeReply {
     grant: AllowanceGrant,
-    /// Whether all requests that waited then were granted a token.
-    covers: bool,
+    /// Whether the grant covers every request that was waiting when the request to the home was composed.
+    covers_waiting: bool,
 }
 
-/// Tells a home of requests that were let through without one, as soon as one answers.
-fn report_alone(context: &Arc<EntryContext>, demand: TokenDemand) {
+/// Reports requests that were admitted standalone, and repeats the report until a home replies.
+fn report_standalone_uses(context: &Arc<EntryContext>, demand: TokenDemand) {
     if !context.limits.begins_report(demand.organisation) {
         return;
     }
     let context = context.clone();
     tokio::spawn(async move {
         while context.limits.has_unreported_uses(demand.organisation) {
-            tokio::time::sleep(REPORT_PAUSE).await;
-            // Without an answer it is asked again.
-            let _ = ask_home(&context, &demand.report()).await;
+            tokio::time::sleep(REPORT_INTERVAL).await;
+            // If no home replies, the loop sends the report again.
+            let _ = request_grant(&context, &demand.report()).await;
         }
         context.limits.end_prefetch(demand.organisation);
     });
 }
 
-/// Asks the organisation's home, and takes what it grants.
-async fn ask_home(context: &EntryContext, demand: &TokenDemand) -> Option<AskedHome> {
+/// Requests tokens from the organisation's home, and stores the grant.
+async fn request_grant(context: &EntryContext, demand: &TokenDemand) -> Option<HomeReply> {
     let keepers = context.keepers.load_full()?;
-    let desk = &context.limits;
+    let limiter = &context.limits;
     let sent = BootTime::now();
-    let (ask, near) = desk.compose_request(demand, sent);
-    let grant = keepers.request_allowance(&ask, near).await?;
-    desk.accept(demand.organisation, &grant, sent);
-    let covers = grant.granted >= ask.used + u64::from(ask.waiting);
-    Some(AskedHome { grant, covers })
+    let (request, near) = limiter.compose_request(demand, sent);
+    let grant = keepers.request_allowance(&request, near).await?;
+    limiter.accept(demand.organisation, &grant, sent);
+    let covers_waiting = grant.granted >= request.used + u64::from(request.waiting);
+    Some(HomeReply {
+        grant,
+        covers_waiting,
+    })
 }
 
-fn over_limit(wait: Duration, window: WindowUse) -> Refusal {
+fn over_limit_refusal(wait: Duration, window: WindowUse) -> Refusal {
     Refusal {
         window: Some(window),
-        retry_after: Some(wait.clamp(SHORTEST_WAIT, LONGEST_WAIT)),
+        retry_after: Some(wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)),
         ..RefusalReason::OverLimit.into()
     }
 }
--- a/crates/samphiregrade-gateway/src/exchange/attempt.rs
+++ b/crates/samphiregrade-gateway/src/exchange/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one upstream: sent, and its answer's head awaited.
+//! One attempt of a request at one upstream: sends the request and waits for the head of the response.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,73 +16,73 @@
 use crate::model::{DispatchHeaders, ResponseMetadata};
 use crate::upstream::{Outcome, Upstream};
 
-/// Longest head of an answer.
+/// Maximum size of a response head, in bytes.
 const HEAD_LIMIT: usize = 32 << 10;
 
-/// Bytes of a foreign answer that are read over; more are not worth it.
-const FOREIGN_LIMIT: usize = 1 << 20;
+/// Maximum size of the body of a mismatched response that is skipped, in bytes: reading more is not worth the cost.
+const SKIPPED_BODY_LIMIT: usize = 1 << 20;
 
-/// Pause between two looks at whether an upstream is still within reach.
-const REACH_PAUSE: Duration = Duration::from_millis(100);
+/// Interval between checks of whether an upstream is still reachable.
+const REACHABILITY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time after which sent bytes that the upstream's system has not acknowledged show that the way there is cut: systems
-/// acknowledge within a round trip however busy their programs are, and a lost packet is sent again after 200 ms.
+/// Time after which unacknowledged bytes show that the network path to the upstream is broken: operating systems
+/// acknowledge within a round trip however busy their processes are, and a lost packet is resent after 200 ms.
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(350);
 
-/// An answer whose head has come.
-pub struct LiveAnswer {
-    /// Head of the answer.
+/// A response whose head has arrived.
+pub struct LiveResponse {
+    /// Head of the response.
     pub head: ResponseHead,
-    /// The upstream's connection.
+    /// Connection to the upstream.
     pub socket: WireSocket,
-    /// Where its body ends.
+    /// Decoder of the body, which detects its end.
     pub decoder: BodyDecoder,
-    /// How its body is framed.
+    /// Framing of the body.
     pub framing: BodyFraming,
-    /// Counts the request as being at its upstream.
+    /// Counts the request as running at its upstream.
     pub guard: RunGuard,
-    /// Whether the connection can be used again after a whole answer.
+    /// Whether the connection can be reused after a complete response.
     pub reusable: bool,
-    /// Whether the request probes an upstream that is doubted.
-    pub probes: bool,
+    /// Whether the request probes a suspected upstream.
+    pub is_probe: bool,
     /// When the request was sent.
-    pub sent: Instant,
-    /// Time from sending to the head.
-    pub first: Duration,
+    pub sent_at: Instant,
+    /// Time from sending the request to receiving the head of the response.
+    pub time_to_head: Duration,
 }
 
-/// An upstream that was chosen for an attempt.
+/// The upstream chosen for an attempt.
 #[derive(Clone)]
 pub(super) struct ChosenUpstream {
     pub upstream: Arc<Upstream>,
-    /// Whether the request probes it because it is doubted.
-    pub probes: bool,
+    /// Whether the request probes the upstream because it is suspected.
+    pub is_probe: bool,
 }
 
 /// How an attempt ended.
-pub(super) enum AttemptEnd {
-    /// The head of an answer to this request.
-    Answered(Box<LiveAnswer>),
-    /// Nothing has left.
+pub(super) enum AttemptOutcome {
+    /// The head of the response to this request has arrived.
+    Responded(Box<LiveResponse>),
+    /// Nothing was sent.
     NotSent(String),
-    /// The caller may not make the request any more; nothing has left.
+    /// The caller is no longer allowed to make the request; nothing was sent.
     Withdrawn(RefusalReason),
-    /// The upstream says that it did not run the request.
+    /// The upstream reports that it did not run the request.
     NotExecuted(u16, Option<Duration>),
     /// The upstream failed; the request may have run.
     Broken(String),
-    /// The way to the upstream is cut; the request may have run.
+    /// The network path to the upstream is broken; the request may have run.
     Unreachable(String),
 }
 
-/// What went wrong after something had been sent.
+/// A failure after part of the request was sent.
 enum SendFailure {
     Upstream(String),
     Path(String),
 }
 
 impl SendFailure {
-    /// Returns what a failure of the upstream is told as.
+    /// Returns a function that wraps an error into a failure of the upstream.
     fn upstream<Source>(what: &'static str) -> impl Fn(Source) -> Self
     where
         Source: std::fmt::Display,
@@ -91,13 +91,14 @@
     }
 }
 
-/// Sends a request to an upstream; resolves to the head of its answer, or to what is known of the request's fate.
+/// Sends a request to an upstream; resolves to the head of the response, or to what is known about whether the request
+/// ran.
 pub(super) async fn attempt(
     context: &EntryContext,
     request: &RoutedRequest,
     chosen: &ChosenUpstream,
     record: &mut RequestRecord,
-) -> AttemptEnd {
+) -> AttemptOutcome {
     let upstream = &chosen.upstream;
     let guard = RunGuard::begin(context, request, upstream);
     let _waiting = request
@@ -106,12 +107,12 @@
     let socket = match open(upstream).await {
         Ok(socket) => socket,
         Err(error) => {
-            return AttemptEnd::NotSent(format!("{} not reached: {error}", upstream.record.id));
+            return AttemptOutcome::NotSent(format!("{} not reached: {error}", upstream.record.id));
         }
     };
-    // It may have waited, or the machine stood still.
+    // The request may have waited, or the machine may have been suspended, since the last check.
     if let Err(reason) = identify(context, &request.route, &request.metadata.credential) {
-        return AttemptEnd::Withdrawn(reason);
+        return AttemptOutcome::Withdrawn(reason);
     }
     record.sends += 1;
     record.before_send.get_or_insert(request.started.elapsed());
@@ -124,79 +125,82 @@
         socket,
         guard,
         reusable: true,
-        probes: chosen.probes,
+        is_probe: chosen.is_probe,
     };
     let id = &upstream.record.id;
-    match sending.carry(&bytes).await {
+    match sending.exchange(&bytes).await {
         Ok(end) => end,
-        Err(SendFailure::Upstream(error)) => AttemptEnd::Broken(format!("{id} {error}")),
-        Err(SendFailure::Path(error)) => AttemptEnd::Unreachable(format!("{id} {error}")),
+        Err(SendFailure::Upstream(error)) => AttemptOutcome::Broken(format!("{id} {error}")),
+        Err(SendFailure::Path(error)) => AttemptOutcome::Unreachable(format!("{id} {error}")),
     }
 }
 
-/// A request on its connection.
+/// A request that is being sent on a connection to an upstream.
 struct SentRequest<'attempt> {
     context: &'attempt EntryContext,
     request: &'attempt RoutedRequest,
     upstream: &'attempt Arc<Upstream>,
     socket: WireSocket,
     guard: RunGuard,
-    /// Whether the connection can be used again after a whole answer.
+    /// Whether the connection can be reused after a complete response.
     reusable: bool,
-    /// Whether the request probes an upstream that is doubted.
-    probes: bool,
+    /// Whether the request probes a suspected upstream.
+    is_probe: bool,
 }
 
 impl SentRequest<'_> {
-    /// Sends the bytes and reads heads until one belongs to the request; the error says what went wrong after
-    /// something had been sent.
-    async fn carry(mut self, bytes: &[u8]) -> Result<AttemptEnd, SendFailure> {
-        let sent = Instant::now();
+    /// Sends the bytes and reads response heads until one belongs to the request.
+    ///
+    /// An error describes a failure after part of the request was sent.
+    async fn exchange(mut self, bytes: &[u8]) -> Result<AttemptOutcome, SendFailure> {
+        let sent_at = Instant::now();
         let writing = self.socket.write_until_answered(bytes).await;
-        self.reusable = writing.map_err(SendFailure::upstream("took not all of the request"))?;
+        self.reusable =
+            writing.map_err(SendFailure::upstream("did not accept the whole request"))?;
         loop {
-            let head = self.await_head(sent).await?;
+            let head = self.await_head(sent_at).await?;
             if head.status < 200 {
                 continue;
             }
             self.upstream.record_response(Instant::now());
             let framing = head
                 .framing()
-                .map_err(SendFailure::upstream("answered badly"))?;
+                .map_err(SendFailure::upstream("sent an invalid response"))?;
             let metadata = self.context.dialect.response_metadata(&head);
             let own = &self.request.id;
             if metadata.request.as_ref().is_none_or(|id| id == own) {
-                return Ok(self.conclude(head, &metadata, framing, sent));
+                return Ok(self.finish(head, &metadata, framing, sent_at));
             }
-            // A late second answer to an earlier request stands before the one to this request.
+            // A late second response to an earlier request precedes the response to this one.
             self.reusable = false;
             skip_body(&mut self.socket, framing)
                 .await
-                .map_err(SendFailure::upstream("sent a foreign answer"))?;
+                .map_err(SendFailure::upstream("sent an unexpected response"))?;
         }
     }
 
-    /// Reads the next head; gives up where the way to the upstream is cut and the request may begin anew.
-    async fn await_head(&mut self, sent: Instant) -> Result<ResponseHead, SendFailure> {
+    /// Reads the next response head; fails if the network path to the upstream is broken and the request may be
+    /// repeated.
+    async fn await_head(&mut self, sent_at: Instant) -> Result<ResponseHead, SendFailure> {
         loop {
-            let reading = tokio::time::timeout(REACH_PAUSE, read_head(&mut self.socket));
+            let reading = tokio::time::timeout(REACHABILITY_INTERVAL, read_head(&mut self.socket));
             if let Ok(head) = reading.await {
                 return head.map_err(SendFailure::upstream("gave no answer"));
             }
-            let reached = self.check_reach(sent);
+            let reachability = self.check_reachability(sent_at);
             if self.request.may_resend() {
-                reached.map_err(SendFailure::Path)?;
+                reachability.map_err(SendFailure::Path)?;
             }
         }
     }
 
-    /// Fails where no answer can be expected any more.
-    fn check_reach(&self, sent: Instant) -> Result<(), String> {
+    /// Fails if a response can no longer be expected.
+    fn check_reachability(&self, sent_at: Instant) -> Result<(), String> {
         let now = Instant::now();
-        if self.upstream.is_overdue(sent, now) {
+        if self.upstream.is_overdue(sent_at, now) {
             return Err("gave no answer: its failure domain is out of reach".to_owned());
         }
-        if now.saturating_duration_since(sent) < UNACKNOWLEDGED_LIMIT {
+        if now.saturating_duration_since(sent_at) < UNACKNOWLEDGED_LIMIT {
             return Ok(());
         }
         match self.socket.unacknowledged() {
@@ -208,26 +212,26 @@
                 ))
             }
             Err(error) => {
-                log::debug!("what is not acknowledged is not known: {error}");
+                log::debug!("the number of unacknowledged bytes could not be read: {error}");
                 Ok(())
             }
         }
     }
 
-    fn conclude(
+    fn finish(
         self,
         head: ResponseHead,
         metadata: &ResponseMetadata,
         framing: BodyFraming,
-        sent: Instant,
-    ) -> AttemptEnd {
+        sent_at: Instant,
+    ) -> AttemptOutcome {
         let now = Instant::now();
         if let Some(load) = metadata.load {
             self.upstream.note_load(load, now);
         }
         if metadata.not_executed || head.status == 421 {
             if head.status == 421 {
-                note_failure(self.upstream, true, "another upstream has its address");
+                record_failure(self.upstream, true, "another upstream now has its address");
             }
             let has_room = metadata
                 .load
@@ -236,32 +240,32 @@
                 let outcomes = &self.context.outcomes;
                 outcomes.note(self.upstream.start_tag, Outcome::Failure, now);
             }
-            return AttemptEnd::NotExecuted(head.status, metadata.retry_after);
+            return AttemptOutcome::NotExecuted(head.status, metadata.retry_after);
         }
         if self.upstream.record_success() {
-            log::info!("upstream {} answers again", self.upstream.record.id);
+            log::info!("upstream {} responds again", self.upstream.record.id);
         }
         if let Some(engine) = &self.request.service.engine {
             let prompt = &self.request.metadata.prompt;
             self.upstream.note_prompt(prompt, engine.cache_tokens, now);
         }
-        let whole = framing != BodyFraming::UntilClose;
-        AttemptEnd::Answered(Box::new(LiveAnswer {
+        let is_delimited = framing != BodyFraming::UntilClose;
+        AttemptOutcome::Responded(Box::new(LiveResponse {
             decoder: BodyDecoder::new(framing),
-            reusable: self.reusable && head.keeps_connection() && whole,
+            reusable: self.reusable && head.keeps_connection() && is_delimited,
             head,
             socket: self.socket,
-            probes: self.probes,
-            sent,
-            first: now.saturating_duration_since(sent),
+            is_probe: self.is_probe,
+            sent_at,
+            time_to_head: now.saturating_duration_since(sent_at),
             framing,
             guard: self.guard,
         }))
     }
 }
 
-/// Notes that an upstream failed, and logs where it is left alone for a while with it.
-pub(super) fn note_failure(upstream: &Upstream, certain: bool, reason: &str) {
+/// Records a failure of an upstream, and logs if its circuit breaker opens.
+pub(super) fn record_failure(upstream: &Upstream, certain: bool, reason: &str) {
     if upstream.record_failure(Instant::now(), certain) {
         log::info!(
             "upstream {} is left alone for a while: {reason}",
@@ -297,7 +301,7 @@
         let own = context.dialect.is_system_header(field) || caller;
         !length && !head.fields.is_hop_by_hop(field) && !own
     });
-    let orders = DispatchHeaders {
+    let headers = DispatchHeaders {
         time_left: request.time_left(Instant::now()),
         upstream: upstream.record.id.clone(),
         priority: rank,
@@ -307,7 +311,7 @@
             .organisation()
             .map(|organisation| organisation.name.clone()),
     };
-    context.dialect.write_dispatch_headers(&orders, &mut bytes);
+    context.dialect.write_dispatch_headers(&headers, &mut bytes);
     if !request.body.is_empty() || head.method.as_ref() != b"GET" {
         bytes.put_slice(format!("Content-Length: {}\r\n", request.body.len()).as_bytes());
     }
@@ -323,18 +327,18 @@
             return Ok(head);
         }
         if socket.fill().await.map_err(|error| error.to_string())? == 0 {
-            return Err("the connection ended".to_owned());
+            return Err("the connection was closed".to_owned());
         }
     }
 }
 
 async fn skip_body(socket: &mut WireSocket, framing: BodyFraming) -> Result<(), String> {
     if framing == BodyFraming::UntilClose {
-        return Err("its body ends with the connection".to_owned());
+        return Err("its body ends only when the connection closes".to_owned());
     }
     let mut decoder = BodyDecoder::new(framing);
     let mut skipped = 0;
-    while skipped < FOREIGN_LIMIT {
+    while skipped < SKIPPED_BODY_LIMIT {
         match decoder
             .take(&mut socket.buffer)
             .map_err(|error| error.to_string())?
@@ -343,10 +347,10 @@
             BodyPiece::Data(data) => skipped += data.len(),
             BodyPiece::More => {
                 if socket.fill().await.map_err(|error| error.to_string())? == 0 {
-                    return Err("the connection ended".to_owned());
+                    return Err("the connection was closed".to_owned());
                 }
             }
         }
     }
-    Err("it is too long".to_owned())
+    Err("its body is too long".to_owned())
 }
--- a/crates/samphiregrade-gateway/src/exchange/connection.rs
+++ b/crates/samphiregrade-gateway/src/exchange/connection.rs
@@ -1,4 +1,5 @@
-//! A client's connection: one request after the other, each answered or visibly cut.
+//! A client connection: serves one request after the other, and ends each with a complete response or a reset that the
+//! client can detect.
 
 mod accepting;
 mod reading;
@@ -11,16 +12,16 @@
 use smol_str::SmolStr;
 use tokio::net::TcpStream;
 
-use super::admission::{admit_beside, identify};
-use super::attempt::LiveAnswer;
+use super::admission::{admit_while_preparing, identify};
+use super::attempt::LiveResponse;
 use super::context::EntryContext;
 use super::dispatch::dispatch;
 use super::outcome::{ConnectionAge, OpenRecord, RequestRecord, SurveyRecord};
 use super::refusal::{Refusal, RefusalReason};
-use super::relay::{RelayClient, RelayEnd, relay_answer};
+use super::relay::{RelayClient, RelayEnd, relay_response};
 use super::request::RoutedRequest;
 use super::survey::{PlacementView, survey};
-use super::turn::{PreparedTurn, ProgramStanding, TurnPlan};
+use super::turn::{PreparedTurn, ProgramState, TurnPlan};
 use crate::model::{ClientLimits, RequestKind, RequestMetadata};
 use crate::routing::{RouteTable, service_for};
 
@@ -31,7 +32,7 @@
     let socket = match WireSocket::new(stream, &SocketLimits::default()) {
         Ok(socket) => socket,
         Err(error) => {
-            log::debug!("a client's connection ended at once: {error}");
+            log::debug!("a client connection failed before its first request: {error}");
             return;
         }
     };
@@ -55,7 +56,7 @@
     tokens: ShutdownTokens,
 }
 
-/// What a request needs before it can be sent.
+/// A routed request, with the plan of its turn if it has one.
 struct PreparedRequest {
     request: RoutedRequest,
     turn: Option<TurnPlan>,
@@ -79,7 +80,8 @@
                 }
             }
         }
-        // The rest of a refused body, or a further request, may be on its way: it must not cost the last answer.
+        // The rest of a refused body or a further request may still arrive; closing at once would reset the connection
+        // and could lose the last response.
         self.socket.end_in_order().await;
     }
 
@@ -91,7 +93,7 @@
             .unwrap_or_default()
     }
 
-    /// Answers a head that can't be read as a request.
+    /// Responds to a head that is not a valid request.
     async fn refuse_head(&mut self, reason: RefusalReason) {
         let mut record = self.open_record(SmolStr::default(), Instant::now());
         self.refuse(&mut record, reason.into(), false).await;
@@ -102,7 +104,7 @@
         OpenRecord::begin(self.context.clone(), record)
     }
 
-    /// Serves a request; returns whether the connection goes on.
+    /// Serves a request; returns whether the connection stays open.
     async fn serve_request(&mut self, head: RequestHead, limits: &ClientLimits) -> bool {
         let started = Instant::now();
         let metadata = self.context.dialect.request_metadata(&head);
@@ -110,34 +112,35 @@
         let mut record = self.open_record(id, started);
         record.program = metadata.program.clone().unwrap_or_default();
         record.program_left = metadata.program_deadline;
-        let keep = head.keeps_connection() && head.minor_version > 0;
+        let keep_alive = head.keeps_connection() && head.minor_version > 0;
         let body = match self.read_body(&head, limits).await {
-            BodyEnd::Whole(body) => body,
+            BodyEnd::Complete(body) => body,
             BodyEnd::Refused(reason) => {
                 self.refuse(&mut record, reason.into(), false).await;
                 return false;
             }
-            BodyEnd::Gone => {
+            BodyEnd::Disconnected => {
                 record.outcome = "client-gone";
                 return false;
             }
         };
         match self.prepare(head, metadata, body, &mut record) {
-            Ok(prepared) if !self.may_take(&prepared.request) => {
+            Ok(prepared) if !self.may_accept(&prepared.request) => {
                 let refusal = RefusalReason::Stopping.into();
                 self.refuse(&mut record, refusal, false).await
             }
-            Ok(prepared) => self.carry_out(prepared, &mut record, keep).await,
-            Err(reason) => self.refuse(&mut record, reason.into(), keep).await,
+            Ok(prepared) => self.execute(prepared, &mut record, keep_alive).await,
+            Err(reason) => self.refuse(&mut record, reason.into(), keep_alive).await,
         }
     }
 
-    /// Returns whether a request may be taken: once nothing new is, only one that had come before and surely ends in time.
-    fn may_take(&self, request: &RoutedRequest) -> bool {
+    /// Returns whether a request may be accepted: while the instance drains, only a request that is due before the
+    /// remaining requests are aborted.
+    fn may_accept(&self, request: &RoutedRequest) -> bool {
         !self.tokens.drain.is_cancelled() || self.context.can_complete_by(request.due)
     }
 
-    /// Finds the request's route and service in the configuration as it is now.
+    /// Looks up the route and the service of a request in the current configuration.
     fn prepare(
         &self,
         head: RequestHead,
@@ -182,7 +185,7 @@
             head,
             metadata,
             body,
-            standing: ProgramStanding::default(),
+            program_state: ProgramState::default(),
             view: PlacementView::default(),
             times: self.context.service_times(&service),
             urgency: table.urgency(&service.name, priority.unwrap_or(route.priority)),
@@ -200,12 +203,12 @@
         Ok(PreparedRequest { request, turn })
     }
 
-    /// Sends the request and relays its answer; returns whether the connection goes on.
-    async fn carry_out(
+    /// Sends the request and relays the response; returns whether the connection stays open.
+    async fn execute(
         &mut self,
         prepared: PreparedRequest,
         record: &mut RequestRecord,
-        keep: bool,
+        keep_alive: bool,
     ) -> bool {
         let PreparedRequest { mut request, turn } = prepared;
         let context = self.context.clone();
@@ -213,7 +216,7 @@
             biased;
             sent = send_request(&context, &mut request, turn.as_ref(), record) => sent.map_err(Some),
             () = self.socket.hung_up() => Err(None),
-            () = self.tokens.abort.cancelled() => Err(Some(give_up(record))),
+            () = self.tokens.abort.cancelled() => Err(Some(abort_refusal(record))),
         };
         match sent {
             Err(None) => {
@@ -221,19 +224,20 @@
                 if record.sends > 0 {
                     request.spend_token();
                 }
-                release(&context, turn.as_ref(), 0);
+                settle_turn(&context, turn.as_ref(), 0);
                 false
             }
             Err(Some(refusal)) => {
                 if refusal.reason.may_have_run() {
                     request.spend_token();
                 }
-                release(&context, turn.as_ref(), 0);
-                self.refuse(record, refusal, keep).await
+                settle_turn(&context, turn.as_ref(), 0);
+                self.refuse(record, refusal, keep_alive).await
             }
-            Ok(answer) => {
+            Ok(response) => {
                 request.spend_token();
-                self.relay(&request, turn, *answer, record, keep).await
+                self.relay(&request, turn, *response, record, keep_alive)
+                    .await
             }
         }
     }
@@ -242,97 +246,102 @@
         &mut self,
         request: &RoutedRequest,
         turn: Option<TurnPlan>,
-        answer: LiveAnswer,
+        response: LiveResponse,
         record: &mut RequestRecord,
-        keep: bool,
+        keep_alive: bool,
     ) -> bool {
-        record.first_answer = Some(record.started.elapsed());
+        record.time_to_head = Some(record.started.elapsed());
         let context = self.context.clone();
-        let keep = keep && !context.closes_connections();
-        let upstream = answer.guard.upstream().clone();
+        let keep_alive = keep_alive && !context.closes_connections();
+        let upstream = response.guard.upstream().clone();
         let client = RelayClient {
             socket: &mut self.socket,
-            keep,
+            keep_alive,
             abort: &self.tokens.abort,
         };
-        let end = relay_answer(
+        let end = relay_response(
             &context,
             client,
             request,
             turn.as_ref(),
-            answer,
+            response,
             record.uncached,
         );
         match end.await {
-            RelayEnd::Whole { status, spent } => {
+            RelayEnd::Complete { status, spent } => {
                 record.status = status;
                 record.outcome = "answered";
                 if let Some(plan) = turn.filter(|plan| !plan.retained || status != 200) {
                     plan.settle(&context, spent, Some(&upstream.record));
                 }
-                keep
+                keep_alive
             }
             RelayEnd::NothingSent { reason, detail } => {
                 record.add_detail(&detail);
-                release(&context, turn.as_ref(), 0);
-                self.refuse(record, reason.into(), keep).await
+                settle_turn(&context, turn.as_ref(), 0);
+                self.refuse(record, reason.into(), keep_alive).await
             }
-            RelayEnd::Cut {
+            RelayEnd::Truncated {
                 outcome,
                 detail,
                 spent,
             } => {
                 record.outcome = outcome;
                 record.add_detail(&detail);
-                release(&context, turn.as_ref(), spent);
+                settle_turn(&context, turn.as_ref(), spent);
                 self.socket.reset_on_close();
                 false
             }
         }
     }
 
-    /// Writes an answer of the instance's own; returns whether the connection goes on.
-    async fn refuse(&mut self, record: &mut RequestRecord, refusal: Refusal, keep: bool) -> bool {
+    /// Writes a refusal; returns whether the connection stays open.
+    async fn refuse(
+        &mut self,
+        record: &mut RequestRecord,
+        refusal: Refusal,
+        keep_alive: bool,
+    ) -> bool {
         let refusal = refusal.while_cut_off(self.context.cut_off_for());
         record.outcome = refusal.reason.name();
         record.window = refusal.window;
         record.status = refusal.reason.status();
         let mut bytes = BytesMut::with_capacity(256);
         let id = Some(record.request.as_str()).filter(|id| !id.is_empty());
-        let keep = keep && !self.context.closes_connections();
-        let kept = refusal.encode(&*self.context.dialect, id, keep, &mut bytes);
+        let keep_alive = keep_alive && !self.context.closes_connections();
+        let kept_open = refusal.encode(&*self.context.dialect, id, keep_alive, &mut bytes);
         if let Err(error) = self.socket.write(&bytes).await {
-            record.add_detail(&format!("the refusal was not written: {error}"));
+            record.add_detail(&format!("the refusal could not be written: {error}"));
             return false;
         }
-        kept
+        kept_open
     }
 }
 
-/// Prepares a turn where it is one, and dispatches the request.
+/// Admits a request, prepares its turn if it has one, and dispatches it.
 async fn send_request(
     context: &Arc<EntryContext>,
     request: &mut RoutedRequest,
     turn: Option<&TurnPlan>,
     record: &mut RequestRecord,
-) -> Result<Box<LiveAnswer>, Refusal> {
+) -> Result<Box<LiveResponse>, Refusal> {
     let preparing = prepare_turn(context, turn, request.body.clone(), request.due);
-    if let Some(prepared) = admit_beside(context, request, record, preparing).await?? {
+    if let Some(prepared) = admit_while_preparing(context, request, record, preparing).await?? {
         request.body = prepared.body;
-        request.standing = prepared.standing;
+        request.program_state = prepared.program_state;
     }
     if request.service.engine.is_some() {
-        let asked = Instant::now();
+        let started = Instant::now();
         request.view = survey(context, request).await;
         record.survey = Some(SurveyRecord {
             accounts: request.view.accounts.len(),
-            time: asked.elapsed(),
+            duration: started.elapsed(),
         });
     }
     dispatch(context, request, record).await
 }
 
-/// Prepares a turn; resolves to nothing where the request is none.
+/// Prepares a turn; resolves to `None` if the request is not a turn.
 async fn prepare_turn(
     context: &EntryContext,
     turn: Option<&TurnPlan>,
@@ -347,17 +356,17 @@
     prepared.unwrap_or(Err(RefusalReason::LateUnsent)).map(Some)
 }
 
-/// Gives up a request without an answer because the instance ends.
-fn give_up(record: &mut RequestRecord) -> Refusal {
-    record.add_detail("the instance stops");
+/// Returns the refusal of a request that is aborted because the instance shuts down.
+fn abort_refusal(record: &mut RequestRecord) -> Refusal {
+    record.add_detail("the instance is stopping");
     if record.sends > 0 {
         return RefusalReason::Broken.into();
     }
     RefusalReason::Stopping.into()
 }
 
-/// Settles a turn that was not answered whole.
-fn release(context: &EntryContext, turn: Option<&TurnPlan>, spent: u32) {
+/// Settles the budget of a turn whose response was not completed.
+fn settle_turn(context: &EntryContext, turn: Option<&TurnPlan>, spent: u32) {
     if let Some(plan) = turn {
         plan.settle(context, spent, None);
     }
--- a/crates/samphiregrade-gateway/src/exchange/connection/accepting.rs
+++ b/crates/samphiregrade-gateway/src/exchange/connection/accepting.rs
@@ -1,4 +1,4 @@
-//! Accepting clients' connections, until nothing new is taken.
+//! Accepts client connections until the instance drains.
 
 use std::sync::Arc;
 
@@ -10,17 +10,17 @@
 use crate::exchange::context::EntryContext;
 use crate::exchange::waiting::drain_backlog;
 
-/// What ends connections while the instance stops; passed down to each of them.
+/// Cancellation tokens of the phases of a shutdown; each connection gets a copy.
 #[derive(Clone, Debug, Default)]
 pub struct ShutdownTokens {
-    /// Nothing new is taken: the listener closes and idle connections end. A request that is there already is taken only
-    /// where it ends before what is under way is given up.
+    /// No new work is accepted: the listener closes and idle connections end. A request that has already arrived is
+    /// accepted only if it is due before the remaining requests are aborted.
     pub drain: CancellationToken,
-    /// What is under way is given up, each with an answer that says whether it may have run.
+    /// Requests in progress are aborted, each with a response that says whether the request may have run.
     pub abort: CancellationToken,
 }
 
-/// Accepts clients' connections until nothing more is taken.
+/// Accepts client connections until the instance drains, then those left in the listener's backlog.
 pub async fn serve_clients(
     context: Arc<EntryContext>,
     listener: TcpListener,
@@ -29,7 +29,7 @@
     loop {
         let accepted = tokio::select! {
             () = tokens.drain.cancelled() => break,
-            accepted = accept(&listener, "a client's connection") => accepted,
+            accepted = accept(&listener, "a client connection") => accepted,
         };
         if let Some(stream) = accepted {
             spawn_connection(&context, stream, &tokens);
@@ -37,22 +37,24 @@
     }
     match listener.into_std() {
         Ok(listener) => {
-            let accept = || accept_now(&listener);
-            let take = |stream| spawn_connection(&context, stream, &tokens);
-            drain_backlog(accept, take).await;
+            let accept = || accept_pending(&listener);
+            let serve = |stream| spawn_connection(&context, stream, &tokens);
+            drain_backlog(accept, serve).await;
         }
-        Err(error) => log::warn!("connections that waited were not accepted: {error}"),
+        Err(error) => log::warn!("connections in the accept queue could not be accepted: {error}"),
     }
 }
 
-/// Accepts a connection that the system has accepted already; its request gets a refusal in place of a reset.
-fn accept_now(listener: &std::net::TcpListener) -> std::io::Result<TcpStream> {
+/// Accepts a connection from the listener's backlog without waiting; its request gets a refusal instead of a reset.
+fn accept_pending(listener: &std::net::TcpListener) -> std::io::Result<TcpStream> {
     let (stream, _) = listener.accept()?;
     stream.set_nonblocking(true)?;
     TcpStream::from_std(stream)
 }
 
-/// Serves a connection, which counts as open from here on: a task that has not begun must not be overlooked.
+/// Spawns a task that serves a connection.
+///
+/// The connection counts as open before the task starts, so that a shutdown does not miss it.
 fn spawn_connection(context: &Arc<EntryContext>, stream: TcpStream, tokens: &ShutdownTokens) {
     let guard = context.open_connection();
     let serving = serve_stream(context.clone(), stream, tokens.clone());
--- a/crates/samphiregrade-gateway/src/exchange/connection/reading.rs
+++ b/crates/samphiregrade-gateway/src/exchange/connection/reading.rs
@@ -1,4 +1,4 @@
-//! Reading a request off a client's connection, within limits of size and time.
+//! Reads requests from a client connection, within limits of size and time.
 
 use std::time::{Duration, Instant};
 
@@ -11,33 +11,33 @@
 use crate::exchange::refusal::RefusalReason;
 use crate::model::ClientLimits;
 
-/// Time for the first request on a new connection of an instance that takes nothing new: a round trip, and a wait for the
-/// processor of a small machine.
-const FIRST_REQUEST_TIME: Duration = Duration::from_millis(250);
+/// Time that a new connection of a draining instance has for its first request: a round trip, and a scheduling delay on
+/// a small machine.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What became of waiting for a head.
+/// Result of reading the head of a request.
 pub(super) enum HeadEnd {
     Head(RequestHead),
     Refused(RefusalReason),
     Closed,
 }
 
-/// What became of reading a body.
+/// Result of reading the body of a request.
 pub(super) enum BodyEnd {
-    Whole(Bytes),
+    Complete(Bytes),
     Refused(RefusalReason),
-    Gone,
+    Disconnected,
 }
 
-/// What became of waiting for more of a request.
-enum MoreRead {
+/// Result of reading more bytes of a request.
+enum ReadResult {
     Some,
     Refused(RefusalReason),
-    Gone,
+    Disconnected,
 }
 
 impl ClientConnection {
-    /// Waits for the next request's head.
+    /// Waits for the next request and reads its head.
     pub(super) async fn read_head(&mut self, limits: &ClientLimits) -> HeadEnd {
         if self.socket.buffer.is_empty() {
             let read = tokio::select! {
@@ -58,32 +58,32 @@
                     return HeadEnd::Refused(RefusalReason::HeadTooLarge);
                 }
                 Err(HeadError::Malformed(error)) => {
-                    log::info!("a client's head is malformed: {error}");
+                    log::info!("a client sent a malformed request head: {error}");
                     return HeadEnd::Refused(RefusalReason::Malformed);
                 }
             }
             match self.read_more(due).await {
-                MoreRead::Some => {}
-                MoreRead::Refused(reason) => return HeadEnd::Refused(reason),
-                MoreRead::Gone => return HeadEnd::Closed,
+                ReadResult::Some => {}
+                ReadResult::Refused(reason) => return HeadEnd::Refused(reason),
+                ReadResult::Disconnected => return HeadEnd::Closed,
             }
         }
     }
 
-    /// Reads more of a request that has begun.
-    async fn read_more(&mut self, due: Instant) -> MoreRead {
+    /// Reads more bytes of a request whose first bytes have arrived.
+    async fn read_more(&mut self, due: Instant) -> ReadResult {
         tokio::select! {
             biased;
             read = tokio::time::timeout_at(due.into(), self.socket.fill()) => match read {
-                Err(_) => MoreRead::Refused(RefusalReason::TooSlow),
-                Ok(Ok(count)) if count > 0 => MoreRead::Some,
-                Ok(_) => MoreRead::Gone,
+                Err(_) => ReadResult::Refused(RefusalReason::TooSlow),
+                Ok(Ok(count)) if count > 0 => ReadResult::Some,
+                Ok(_) => ReadResult::Disconnected,
             },
-            () = self.tokens.abort.cancelled() => MoreRead::Refused(RefusalReason::Stopping),
+            () = self.tokens.abort.cancelled() => ReadResult::Refused(RefusalReason::Stopping),
         }
     }
 
-    /// Reads the rest of a request.
+    /// Reads the body of a request.
     pub(super) async fn read_body(&mut self, head: &RequestHead, limits: &ClientLimits) -> BodyEnd {
         let Ok(framing) = head.framing() else {
             return BodyEnd::Refused(RefusalReason::Malformed);
@@ -95,7 +95,7 @@
                 .await
                 .is_err()
         {
-            return BodyEnd::Gone;
+            return BodyEnd::Disconnected;
         }
         let due = Instant::now() + limits.idle_timeout;
         let mut decoder = BodyDecoder::new(framing);
@@ -104,9 +104,9 @@
         loop {
             match decoder.take(&mut self.socket.buffer) {
                 Ok(BodyPiece::End) if rest.is_empty() => {
-                    return BodyEnd::Whole(first.unwrap_or_default());
+                    return BodyEnd::Complete(first.unwrap_or_default());
                 }
-                Ok(BodyPiece::End) => return BodyEnd::Whole(rest.freeze()),
+                Ok(BodyPiece::End) => return BodyEnd::Complete(rest.freeze()),
                 Ok(BodyPiece::Data(data)) => {
                     let length = first.as_ref().map_or(0, Bytes::len).max(rest.len()) + data.len();
                     if length > limits.body_bytes {
@@ -122,9 +122,9 @@
                     }
                 }
                 Ok(BodyPiece::More) => match self.read_more(due).await {
-                    MoreRead::Some => {}
-                    MoreRead::Refused(reason) => return BodyEnd::Refused(reason),
-                    MoreRead::Gone => return BodyEnd::Gone,
+                    ReadResult::Some => {}
+                    ReadResult::Refused(reason) => return BodyEnd::Refused(reason),
+                    ReadResult::Disconnected => return BodyEnd::Disconnected,
                 },
                 Err(_) => return BodyEnd::Refused(RefusalReason::Malformed),
             }
@@ -132,13 +132,13 @@
     }
 }
 
-/// Resolves when a connection on which no request has begun is to be closed since nothing new is taken.
+/// Resolves when an idle connection has to be closed because the instance drains.
 ///
-/// What was accepted last has its first request on the way, or in the system's buffer without being known here yet: closed
-/// at once, all connections that waited in the queue were reset.
-async fn idle_end(closing: &CancellationToken, age: &ConnectionAge) {
-    closing.cancelled().await;
+/// The first request of a newly accepted connection may still be on its way, or be in the socket buffer without having
+/// been reported as readable. Closing such connections at once reset every connection taken from the accept queue.
+async fn idle_end(drain: &CancellationToken, age: &ConnectionAge) {
+    drain.cancelled().await;
     if age.earlier_requests == 0 {
-        tokio::time::sleep_until((age.accepted + FIRST_REQUEST_TIME).into()).await;
+        tokio::time::sleep_until((age.accepted + FIRST_REQUEST_TIMEOUT).into()).await;
     }
 }
--- a/crates/samphiregrade-gateway/src/exchange/context.rs
+++ b/crates/samphiregrade-gateway/src/exchange/context.rs
@@ -1,4 +1,4 @@
-//! What all requests of an entry instance share.
+//! State shared by all requests of an entry instance.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
@@ -21,49 +21,49 @@
     AnsweredRequest, OutcomeTracker, PrefixShares, ServiceTimes, UpstreamDirectory,
 };
 
-/// The times of an instance that was told to stop.
+/// Times of a shutdown.
 #[derive(Clone, Copy, Debug)]
 struct StopTimes {
-    told: Instant,
-    /// When what is under way is given up.
-    gives_up: Instant,
+    signalled_at: Instant,
+    /// When the requests in progress are aborted.
+    aborts_at: Instant,
 }
 
 /// Shared state of an entry instance.
 pub struct EntryContext {
-    /// Names and formats of the platform.
+    /// Header names and formats of the platform.
     pub dialect: Arc<dyn Dialect>,
-    /// The newest configuration; `None` until one is known.
+    /// The newest configuration; `None` until one has been received.
     pub routes: ArcSwapOption<RouteTable>,
-    /// The upstreams.
+    /// The known upstreams.
     pub directory: Arc<ArcSwap<UpstreamDirectory>>,
-    /// The keepers; `None` until the deployment's authority is known.
+    /// Client of the keepers; `None` until the deployment's certificate authority is known.
     pub keepers: ArcSwapOption<KeeperClient>,
-    /// How often first parts of prompts are seen here.
-    pub first_parts: PrefixShares,
-    /// Chains of turns that ended here.
+    /// Frequencies of the shared prefixes of prompts at this instance.
+    pub prefix_shares: PrefixShares,
+    /// Chains of turns that this instance completed.
     pub turns: TurnCache,
-    /// What became of requests at upstreams.
+    /// Outcomes of requests, by upstream.
     pub outcomes: Arc<OutcomeTracker>,
-    /// What requests of each service take.
+    /// Measured request times, by service.
     times: Mutex<HashMap<ServiceName, ServiceTimes>>,
-    /// What is held of organisations' limits.
+    /// Local allowances of the organisations' limits.
     pub limits: EntryLimiter,
-    /// How fresh what is known of keys is.
+    /// Freshness of the known keys.
     pub freshness: KeyFreshness,
-    /// Counters.
+    /// Counters of the gateway.
     pub metrics: Arc<GatewayMetrics>,
     /// Failure domain of the instance.
     pub domain: DomainId,
     stopping: OnceLock<StopTimes>,
     connections: AtomicU32,
-    /// Clients' connections since the start.
+    /// Client connections accepted since the start.
     accepted: AtomicU64,
     requests: AtomicU32,
 }
 
 impl EntryContext {
-    /// Makes the state of an instance that knows nothing yet.
+    /// Creates the state of an instance that has not received a configuration yet.
     #[must_use]
     pub fn new(
         dialect: Arc<dyn Dialect>,
@@ -79,7 +79,7 @@
             routes: ArcSwapOption::empty(),
             directory,
             keepers: ArcSwapOption::empty(),
-            first_parts: PrefixShares::default(),
+            prefix_shares: PrefixShares::default(),
             turns,
             outcomes: Arc::default(),
             times: Mutex::default(),
@@ -94,46 +94,47 @@
         }
     }
 
-    /// Returns what requests of a service take, as far as is known.
+    /// Returns the measured request times of a service, or the defaults if none were measured.
     #[must_use]
     pub fn service_times(&self, service: &ServiceRecord) -> ServiceTimes {
         let times = lock_ignoring_poison(&self.times);
         let known = times.get(&service.name).copied();
-        known.unwrap_or_else(|| first_times(service))
+        known.unwrap_or_else(|| default_times(service))
     }
 
-    /// Notes how a request of a service went.
+    /// Records the times of a completed request of a service.
     pub fn record_times(&self, service: &ServiceRecord, answered: &AnsweredRequest) {
         let mut times = lock_ignoring_poison(&self.times);
         times
             .entry(service.name.clone())
-            .or_insert_with(|| first_times(service))
+            .or_insert_with(|| default_times(service))
             .note(answered);
     }
 
-    /// Returns whether the instance takes new connections.
+    /// Returns whether the instance is ready for new connections.
     ///
-    /// One that is cut off from the keepers can't serve turns; clients are better off elsewhere.
+    /// An instance that is cut off from the keepers can't serve turns, so clients should use another one.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let serves = self.routes.load().is_some() && self.cut_off_for().is_zero();
         serves && self.has_fresh_keys() && !self.is_stopping()
     }
 
-    /// Returns whether requests with keys can be served: no key that may have been withdrawn for too long is.
+    /// Returns whether requests with keys can be served: the known keys are recent enough to exclude a key that was
+    /// withdrawn longer ago than allowed.
     #[must_use]
     pub fn has_fresh_keys(&self) -> bool {
         !self.asks_for_keys() || self.freshness.permits_known_keys(BootTime::now())
     }
 
-    /// Returns whether callers need keys.
+    /// Returns whether the configuration requires callers to have keys.
     #[must_use]
     pub fn asks_for_keys(&self) -> bool {
         let routes = self.routes.load();
         routes.as_ref().is_some_and(|table| table.keys().is_some())
     }
 
-    /// Returns how long the instance has been cut off from the keepers; zero while it isn't.
+    /// Returns for how long the instance has been cut off from the keepers; zero if it is connected.
     #[must_use]
     pub fn cut_off_for(&self) -> Duration {
         let keepers = self.keepers.load();
@@ -142,54 +143,58 @@
             .map_or(Duration::ZERO, |keepers| keepers.cut_off_for())
     }
 
-    /// Returns whether clients should open their next connection anew: it then goes to an instance that is
-    /// ready.
+    /// Returns whether clients should reconnect for their next request, so that it goes to an instance that is ready.
     #[must_use]
     pub fn closes_connections(&self) -> bool {
         self.is_stopping() || !self.cut_off_for().is_zero() || !self.has_fresh_keys()
     }
 
-    /// Notes that the instance was told to stop, and how long after it what is under way is given up.
+    /// Records the signal to stop, and the time after it at which the requests in progress are aborted.
     pub fn begin_stopping(&self, time_left: Duration) {
-        let told = Instant::now();
-        let gives_up = told + time_left;
-        // Told a second time, it is stopping already.
-        let _ = self.stopping.set(StopTimes { told, gives_up });
+        let signalled_at = Instant::now();
+        let aborts_at = signalled_at + time_left;
+        // A second signal has no effect: the instance is already stopping.
+        let _ = self.stopping.set(StopTimes {
+            signalled_at,
+            aborts_at,
+        });
     }
 
-    /// Returns whether the instance is about to stop.
+    /// Returns whether the instance is stopping.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.stopping.get().is_some()
     }
 
-    /// Returns how long ago the instance was told to stop; `None` where it wasn't.
+    /// Returns the time since the signal to stop; `None` if there was none.
     #[must_use]
     pub fn stopping_for(&self) -> Option<Duration> {
-        self.stopping.get().map(|times| times.told.elapsed())
+        self.stopping
+            .get()
+            .map(|times| times.signalled_at.elapsed())
     }
 
-    /// Returns whether a request that must be answered by a time will have been before the instance ends.
+    /// Returns whether a request that is due at a time is finished before the remaining requests are aborted.
     #[must_use]
     pub fn can_complete_by(&self, due: Instant) -> bool {
         self.stopping
             .get()
-            .is_none_or(|times| due <= times.gives_up)
+            .is_none_or(|times| due <= times.aborts_at)
     }
 
-    /// Returns the open connections of clients.
+    /// Returns the number of open client connections.
     #[must_use]
     pub fn open_connections(&self) -> u32 {
         self.connections.load(Ordering::Relaxed)
     }
 
-    /// Returns how many connections of clients were accepted since the start.
+    /// Returns the number of client connections accepted since the start.
     #[must_use]
     pub fn accepted_connections(&self) -> u64 {
         self.accepted.load(Ordering::Relaxed)
     }
 
-    /// Returns the longest time that any route gives a request; zero without a configuration.
+    /// Returns the longest request timeout of all routes; zero without a configuration.
     #[must_use]
     pub fn longest_timeout(&self) -> Duration {
         let routes = self.routes.load();
@@ -198,7 +203,7 @@
             .map_or(Duration::ZERO, |table| table.longest_timeout())
     }
 
-    /// Returns the requests that have come and have not ended.
+    /// Returns the number of requests in progress.
     #[must_use]
     pub fn open_requests(&self) -> u32 {
         self.requests.load(Ordering::Relaxed)
@@ -212,7 +217,7 @@
         self.requests.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Counts a client's connection until the guard is dropped.
+    /// Counts a client connection as open until the guard is dropped.
     pub(crate) fn open_connection(self: &Arc<Self>) -> ConnectionGuard {
         self.connections.fetch_add(1, Ordering::Relaxed);
         self.accepted.fetch_add(1, Ordering::Relaxed);
@@ -220,14 +225,14 @@
     }
 }
 
-fn first_times(service: &ServiceRecord) -> ServiceTimes {
+fn default_times(service: &ServiceRecord) -> ServiceTimes {
     match service.engine {
         Some(_) => ServiceTimes::of_engine(),
         None => ServiceTimes::of_plain(),
     }
 }
 
-/// A client's connection that counts as open.
+/// Guard of a client connection that counts as open.
 pub(crate) struct ConnectionGuard(Arc<EntryContext>);
 
 impl Drop for ConnectionGuard {
--- a/crates/samphiregrade-gateway/src/exchange/dispatch.rs
+++ b/crates/samphiregrade-gateway/src/exchange/dispatch.rs
@@ -1,9 +1,9 @@
-//! Sending a request to upstreams until one answers, within what may be repeated.
+//! Dispatch of a request: tries upstreams until one responds, and repeats a request only if that is safe.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::attempt::{AttemptEnd, ChosenUpstream, LiveAnswer, attempt, note_failure};
+use super::attempt::{AttemptOutcome, ChosenUpstream, LiveResponse, attempt, record_failure};
 use super::context::EntryContext;
 use super::outcome::RequestRecord;
 use super::refusal::{Refusal, RefusalReason};
@@ -13,27 +13,29 @@
     Candidate, LoadView, Outcome, Upstream, WorkEstimate, choose_upstream, estimate_loads,
 };
 
-/// Connections that may fail before one attempt of a client is refused: each has cost no more than a round trip.
-const CONNECT_TRIES: usize = 3;
+/// Number of failed connections after which a request is refused: each costs no more than a round trip.
+const MAX_CONNECT_FAILURES: usize = 3;
 
-/// Share of the requests that are placed as if a connection to every upstream were open: one that has just come, or is
-/// faster than the others, gets a request then.
-const EXPLORING_SHARE: f64 = 0.125;
+/// Share of the requests that are placed as if a connection to every upstream were open, so that an upstream that is
+/// new or faster than the others also gets requests.
+const EXPLORATION_SHARE: f64 = 0.125;
 
-/// Accounts of upstreams from which on a request is placed by these alone.
-const LEAST_CHOICE: usize = 3;
+/// Minimum number of upstreams with a known account for which a request is placed among these only.
+const MIN_ACCOUNTS: usize = 3;
 
-/// Sends a request; resolves to an answer's head, or to a refusal that says whether it may have run.
+/// Sends a request; resolves to the head of a response, or to a refusal that says whether the request may have run.
 pub async fn dispatch(
     context: &EntryContext,
     request: &RoutedRequest,
     record: &mut RequestRecord,
-) -> Result<Box<LiveAnswer>, Refusal> {
+) -> Result<Box<LiveResponse>, Refusal> {
     let mut tried: Vec<Arc<Upstream>> = Vec::new();
     let mut connect_failures = 0;
-    let mut refused_wait = None;
+    let mut retry_after = None;
     let mut may_have_run = false;
-    while record.sends < request.route.max_attempts.max(1) && connect_failures < CONNECT_TRIES {
+    while record.sends < request.route.max_attempts.max(1)
+        && connect_failures < MAX_CONNECT_FAILURES
+    {
         let now = Instant::now();
         if request.time_left(now).is_zero() {
             break;
@@ -45,45 +47,45 @@
         tried.push(upstream.clone());
         record.upstream = upstream.record.id.clone();
         let sending = attempt(context, request, &chosen, record);
-        let Ok(end) = tokio::time::timeout_at(request.due.into(), sending).await else {
-            note_failure(&upstream, false, "no answer in time");
+        let Ok(outcome) = tokio::time::timeout_at(request.due.into(), sending).await else {
+            record_failure(&upstream, false, "no response in time");
             context.metrics.count_send("late");
-            record.add_detail("no answer in time");
+            record.add_detail("no response in time");
             return Err(RefusalReason::Late.into());
         };
-        match end {
-            AttemptEnd::Answered(answer) => return Ok(answer),
-            AttemptEnd::NotSent(reason) => {
+        match outcome {
+            AttemptOutcome::Responded(response) => return Ok(response),
+            AttemptOutcome::NotSent(reason) => {
                 connect_failures += 1;
-                note_failure(&upstream, true, &reason);
+                record_failure(&upstream, true, &reason);
                 context.metrics.count_send("not-sent");
                 record.add_detail(&reason);
             }
-            AttemptEnd::Withdrawn(reason) if may_have_run => {
+            AttemptOutcome::Withdrawn(reason) if may_have_run => {
                 record.add_detail(reason.name());
                 return Err(RefusalReason::Broken.into());
             }
-            AttemptEnd::Withdrawn(reason) => return Err(reason.into()),
-            AttemptEnd::NotExecuted(status, wait) => {
+            AttemptOutcome::Withdrawn(reason) => return Err(reason.into()),
+            AttemptOutcome::NotExecuted(status, wait) => {
                 context.metrics.count_send("not-executed");
                 record.add_detail(&format!(
-                    "{} says not executed with {status}",
+                    "{} reports status {status}, not executed",
                     upstream.record.id
                 ));
-                refused_wait = wait;
+                retry_after = wait;
             }
-            AttemptEnd::Broken(reason) => {
+            AttemptOutcome::Broken(reason) => {
                 let now = Instant::now();
                 context
                     .outcomes
                     .note(upstream.start_tag, Outcome::Failure, now);
-                note_failure(&upstream, false, &reason);
+                record_failure(&upstream, false, &reason);
                 context.metrics.count_send("broken");
                 record.add_detail(&reason);
                 may_have_run = true;
             }
-            AttemptEnd::Unreachable(reason) => {
-                note_failure(&upstream, false, &reason);
+            AttemptOutcome::Unreachable(reason) => {
+                record_failure(&upstream, false, &reason);
                 context.metrics.count_send("unreachable");
                 record.add_detail(&reason);
                 may_have_run = true;
@@ -93,14 +95,14 @@
             return Err(RefusalReason::Broken.into());
         }
     }
-    Err(give_up(request, record, may_have_run, refused_wait))
+    Err(final_refusal(request, record, may_have_run, retry_after))
 }
 
-fn give_up(
+fn final_refusal(
     request: &RoutedRequest,
     record: &RequestRecord,
     may_have_run: bool,
-    refused_wait: Option<Duration>,
+    retry_after: Option<Duration>,
 ) -> Refusal {
     if may_have_run {
         return RefusalReason::Broken.into();
@@ -114,7 +116,7 @@
         RefusalReason::NoUpstream
     };
     let mut refusal = Refusal::from(reason);
-    refusal.retry_after = refused_wait.or(refusal.retry_after);
+    refusal.retry_after = retry_after.or(refusal.retry_after);
     refusal
 }
 
@@ -128,51 +130,58 @@
     let now = Instant::now();
     let directory = context.directory.load();
     let upstreams = directory.of(&request.service.name);
-    let fit = fit_upstreams(upstreams, tried, now);
-    if let Some(probed) = probe(context, request, &fit, now) {
+    let eligible = eligible_upstreams(upstreams, tried, now);
+    if let Some(probed) = select_probe(context, request, &eligible, now) {
         return Some(probed);
     }
-    let fit = accounted(fit, &request.view);
-    let candidates = candidates(context, request, &fit, now);
+    let eligible = with_accounts(eligible, &request.view);
+    let candidates = candidates(context, request, &eligible, now);
     let index = choose_upstream(&candidates, &work_estimate(request), rand::random())?;
     record.load = candidates[index].load;
     record.uncached = candidates[index].uncached_tokens;
     Some(ChosenUpstream {
-        upstream: fit[index].clone(),
-        probes: false,
+        upstream: eligible[index].clone(),
+        is_probe: false,
     })
 }
 
-/// Returns the upstreams that may get the request: those that are trusted, where there are any.
-fn fit_upstreams<'directory>(
+/// Returns the untried upstreams that accept requests; only those with a closed circuit breaker if there are any.
+fn eligible_upstreams<'directory>(
     upstreams: &'directory [Arc<Upstream>],
     tried: &[Arc<Upstream>],
     now: Instant,
 ) -> Vec<&'directory Arc<Upstream>> {
-    let fit: Vec<&Arc<Upstream>> = upstreams
+    let eligible: Vec<&Arc<Upstream>> = upstreams
         .iter()
         .filter(|upstream| upstream.takes_requests())
         .filter(|upstream| !tried.iter().any(|other| Arc::ptr_eq(other, upstream)))
         .collect();
-    let trusted: Vec<&Arc<Upstream>> = fit
+    let trusted: Vec<&Arc<Upstream>> = eligible
         .iter()
         .copied()
         .filter(|upstream| upstream.is_breaker_closed(now))
         .collect();
-    if trusted.is_empty() { fit } else { trusted }
+    if trusted.is_empty() {
+        eligible
+    } else {
+        trusted
+    }
 }
 
-/// Describes upstreams as choices for the request.
+/// Describes upstreams as candidates for the request.
 fn candidates(
     context: &EntryContext,
     request: &RoutedRequest,
-    fit: &[&Arc<Upstream>],
+    eligible: &[&Arc<Upstream>],
     now: Instant,
 ) -> Vec<Candidate> {
-    let explores = rand::random_bool(EXPLORING_SHARE);
-    let views: Vec<LoadView> = fit.iter().map(|upstream| upstream.load_view(now)).collect();
-    let mut candidates = Vec::with_capacity(fit.len());
-    for (upstream, load) in fit.iter().zip(estimate_loads(&views)) {
+    let explores = rand::random_bool(EXPLORATION_SHARE);
+    let views: Vec<LoadView> = eligible
+        .iter()
+        .map(|upstream| upstream.load_view(now))
+        .collect();
+    let mut candidates = Vec::with_capacity(eligible.len());
+    for (upstream, load) in eligible.iter().zip(estimate_loads(&views)) {
         let mut candidate = candidate(context, request, upstream, load, now);
         candidate.connected |= explores;
         candidates.push(candidate);
@@ -180,7 +189,7 @@
     candidates
 }
 
-/// Describes an upstream as a choice for the request; `load` is what this instance believes of it.
+/// Describes an upstream as a candidate for the request; `load` is this instance's estimate of its load.
 fn candidate(
     context: &EntryContext,
     request: &RoutedRequest,
@@ -194,8 +203,8 @@
     if let Some(account) = request.view.account(upstream.start_tag) {
         candidate.apply_account(account, upstream.own_requests(), home);
     }
-    // Another instance may have sent the turn before; the keepers have told where.
-    if let Some(uncached) = request.uncached_at_last_place(&upstream.record) {
+    // Another instance may have sent the previous turn; the keepers report which upstream ran it.
+    if let Some(uncached) = request.uncached_since_last_turn(&upstream.record) {
         candidate.uncached_tokens = candidate.uncached_tokens.min(uncached);
     }
     let repeatable = request.may_resend();
@@ -214,38 +223,40 @@
     }
 }
 
-/// Returns the upstreams whose accounts the keepers have told, where these are a choice: what is not known looks idle.
-fn accounted<'directory>(
-    fit: Vec<&'directory Arc<Upstream>>,
+/// Returns the upstreams whose accounts the keepers have reported, if there are enough to choose from: an upstream
+/// without an account looks idle.
+fn with_accounts<'directory>(
+    eligible: Vec<&'directory Arc<Upstream>>,
     view: &PlacementView,
 ) -> Vec<&'directory Arc<Upstream>> {
-    let told: Vec<&Arc<Upstream>> = fit
+    let reported: Vec<&Arc<Upstream>> = eligible
         .iter()
         .copied()
         .filter(|upstream| view.account(upstream.start_tag).is_some())
         .collect();
-    if told.len() < LEAST_CHOICE {
-        return fit;
+    if reported.len() < MIN_ACCOUNTS {
+        return eligible;
     }
-    told
+    reported
 }
 
-/// Returns a doubted upstream that the request may probe: it is a call that may be repeated, or a program's first
-/// turn, with which least is lost.
-fn probe(
+/// Returns a suspected upstream that the request may probe.
+///
+/// Only a request that may be repeated, or the first turn of a program, is a probe: they lose least if the probe fails.
+fn select_probe(
     context: &EntryContext,
     request: &RoutedRequest,
-    fit: &[&Arc<Upstream>],
+    eligible: &[&Arc<Upstream>],
     now: Instant,
 ) -> Option<ChosenUpstream> {
     if !context.outcomes.has_probe_permit() || !request.may_probe() {
         return None;
     }
-    let probed = fit
+    let probed = eligible
         .iter()
         .find(|upstream| context.outcomes.take_probe_permit(upstream.start_tag, now))?;
     Some(ChosenUpstream {
         upstream: (*probed).clone(),
-        probes: true,
+        is_probe: true,
     })
 }
--- a/crates/samphiregrade-gateway/src/exchange/events.rs
+++ b/crates/samphiregrade-gateway/src/exchange/events.rs
@@ -1,30 +1,31 @@
-//! Reading the events of a stream as it passes by.
+//! Parser of the server-sent events of a stream while it is relayed.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// Collects the data of each whole event (the format of WHATWG's server-sent events).
+/// Collects the data of each complete event (in the format of WHATWG's server-sent events).
 #[derive(Clone, Debug, Default)]
 pub struct EventParser {
     line: BytesMut,
     data: BytesMut,
     has_data: bool,
-    /// Events that are whole.
+    /// Number of complete events.
     events: u32,
-    /// Their data, each with a line feed, where it is wanted.
+    /// Data of the complete events, each followed by a line feed; `None` if only the count is needed.
     output: Option<BytesMut>,
 }
 
 impl EventParser {
-    /// Starts before the first event; `keep` where the data is wanted, not only the count.
+    /// Creates a parser at the start of a stream; `keep_data` says whether the data is collected or the events are only
+    /// counted.
     #[must_use]
-    pub fn new(keep: bool) -> Self {
+    pub fn new(keep_data: bool) -> Self {
         Self {
-            output: keep.then(BytesMut::new),
+            output: keep_data.then(BytesMut::new),
             ..Self::default()
         }
     }
 
-    /// Reads bytes of the stream.
+    /// Parses the next bytes of the stream.
     pub fn read(&mut self, bytes: &[u8]) {
         for part in bytes.split_inclusive(|&byte| byte == b'\n') {
             self.line.put_slice(part);
@@ -68,20 +69,20 @@
         }
     }
 
-    /// Returns the whole events so far.
+    /// Returns the number of complete events.
     #[must_use]
     pub fn complete_events(&self) -> u32 {
         self.events
     }
 
-    /// Returns events that have begun, the last one perhaps not whole.
+    /// Returns the number of events that have begun, including an incomplete last one.
     #[must_use]
     pub fn started_events(&self) -> u32 {
         let partial = self.has_data || !self.line.is_empty();
         self.events + u32::from(partial)
     }
 
-    /// Takes the data of all whole events.
+    /// Takes the data of all complete events.
     #[must_use]
     pub fn take_output(&mut self) -> Bytes {
         self.output.take().unwrap_or_default().freeze()
--- a/crates/samphiregrade-gateway/src/exchange/limit_desk.rs
+++ b/crates/samphiregrade-gateway/src/exchange/limit_desk.rs
@@ -1,4 +1,4 @@
-//! What an entry holds of organisations' limits, and the tokens that requests take of it.
+//! An entry's allowances of the organisations' limits, and the tokens that requests take from them.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -13,14 +13,14 @@
 use crate::model::{OrganisationTag, name_tag};
 use crate::settings::OrganisationSection;
 
-/// What this entry holds of organisations' limits.
+/// The allowances that this entry holds of the organisations' limits.
 pub struct EntryLimiter {
     pub(super) source: EntrySource,
     allowances: Mutex<HashMap<OrganisationTag, OrganisationAllowance>>,
 }
 
 impl EntryLimiter {
-    /// Makes the desk of an entry that has just started.
+    /// Creates an empty state for an entry that has just started.
     #[must_use]
     pub fn new(instance: &str, organisations: &OrganisationSection) -> Self {
         Self {
@@ -46,11 +46,11 @@
         )
     }
 
-    /// Takes a token that is at hand.
+    /// Takes a prefetched token; returns whether there was one.
     pub(super) fn take_token(&self, demand: &TokenDemand) -> bool {
         let window = self.source.rule.window;
         self.with_allowance(demand.organisation, |allowance| {
-            allowance.take(demand.begins, BootTime::now(), window)
+            allowance.take(demand.starts_program, BootTime::now(), window)
         })
     }
 
@@ -61,7 +61,7 @@
         })
     }
 
-    /// Composes a question; returns with it whether the organisation was near its limit.
+    /// Composes a request to the home; also returns whether the organisation was near its limit at the last reply.
     pub(super) fn compose_request(
         &self,
         demand: &TokenDemand,
@@ -70,16 +70,17 @@
         let TokenDemand {
             organisation,
             limit,
-            begins,
-            ahead,
+            starts_program,
+            prefetch,
         } = *demand;
         let source = EntrySource {
-            prefetch: ahead && self.source.prefetch,
+            prefetch: prefetch && self.source.prefetch,
             ..self.source
         };
         self.with_allowance(organisation, |allowance| {
-            let ask = allowance.compose_request(organisation, &source, limit, begins, now);
-            (ask, allowance.is_near_limit())
+            let request =
+                allowance.compose_request(organisation, &source, limit, starts_program, now);
+            (request, allowance.is_near_limit())
         })
     }
 
@@ -94,28 +95,29 @@
         });
     }
 
-    /// Returns whether the next request would have to wait for a home that may well refuse it.
+    /// Returns whether the organisation is near its limit: the next request has to wait for the home, which is likely
+    /// to refuse it.
     pub(super) fn is_near_limit(&self, organisation: OrganisationTag) -> bool {
         self.with_allowance(organisation, |allowance| allowance.is_near_limit())
     }
 
-    /// Returns for how long requests like this one are refused without asking anew.
+    /// Returns for how long requests like this one are refused without another request to the home.
     pub(super) fn refused_for(&self, demand: &TokenDemand) -> Option<(Duration, WindowUse)> {
         self.with_allowance(demand.organisation, |allowance| {
-            allowance.refused_for(demand.begins, BootTime::now())
+            allowance.refused_for(demand.starts_program, BootTime::now())
         })
     }
 
     pub(super) fn record_refusal(&self, demand: &TokenDemand, grant: &AllowanceGrant) {
         self.with_allowance(demand.organisation, |allowance| {
-            allowance.record_refusal(demand.begins, grant, BootTime::now());
+            allowance.record_refusal(demand.starts_program, grant, BootTime::now());
         });
     }
 
     pub(super) fn begins_prefetch(&self, organisation: OrganisationTag) -> bool {
-        let ahead = self.source.prefetch;
+        let prefetch = self.source.prefetch;
         self.with_allowance(organisation, |allowance| {
-            ahead && allowance.begin_prefetch(BootTime::now())
+            prefetch && allowance.begin_prefetch(BootTime::now())
         })
     }
 
@@ -144,22 +146,22 @@
     pub(super) organisation: OrganisationTag,
     pub(super) limit: WindowLimit,
     /// Whether the request begins a program.
-    pub(super) begins: bool,
-    /// Whether tokens are asked for in advance as well.
-    pub(super) ahead: bool,
+    pub(super) starts_program: bool,
+    /// Whether tokens are also prefetched.
+    pub(super) prefetch: bool,
 }
 
 impl TokenDemand {
-    /// Returns the demand of one who only tells what it has used.
+    /// Returns the demand of a report of past uses, which prefetches no tokens.
     pub(super) fn report(self) -> Self {
         Self {
-            ahead: false,
+            prefetch: false,
             ..self
         }
     }
 }
 
-/// A token of an organisation's limit; it is given back unless the request may have run.
+/// A token of an organisation's limit; returned on drop unless the request may have run.
 pub struct LimitToken {
     pub(super) context: Arc<EntryContext>,
     pub(super) organisation: OrganisationTag,
@@ -167,7 +169,7 @@
 }
 
 impl LimitToken {
-    /// Notes that the request may have run.
+    /// Marks the token as spent because the request may have run.
     pub fn spend(&mut self) {
         self.spent = true;
     }
@@ -178,24 +180,24 @@
         if self.spent {
             return;
         }
-        let desk = &self.context.limits;
-        desk.with_allowance(self.organisation, OrganisationAllowance::give_back);
+        let limiter = &self.context.limits;
+        limiter.with_allowance(self.organisation, OrganisationAllowance::give_back);
     }
 }
 
-/// How a token came, for the log.
+/// Where a token came from, for the log.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TokenSource {
-    /// It had been granted in advance.
+    /// The token was prefetched.
     Prefetched,
-    /// A home granted it.
+    /// A home granted the token for this request.
     Home,
-    /// No home answered.
+    /// No home responded; the entry admitted the request standalone.
     Standalone,
 }
 
 impl TokenSource {
-    /// Returns the name in logs.
+    /// Returns the name used in the log.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -207,21 +209,24 @@
 }
 
 /// A request that counts as waiting for a token until it is dropped.
-pub(super) struct WaitingRequest<'desk> {
-    desk: &'desk EntryLimiter,
+pub(super) struct WaitingRequest<'limiter> {
+    limiter: &'limiter EntryLimiter,
     organisation: OrganisationTag,
 }
 
-impl<'desk> WaitingRequest<'desk> {
-    pub(super) fn begin(desk: &'desk EntryLimiter, organisation: OrganisationTag) -> Self {
-        desk.with_allowance(organisation, OrganisationAllowance::begin_waiting);
-        Self { desk, organisation }
+impl<'limiter> WaitingRequest<'limiter> {
+    pub(super) fn begin(limiter: &'limiter EntryLimiter, organisation: OrganisationTag) -> Self {
+        limiter.with_allowance(organisation, OrganisationAllowance::begin_waiting);
+        Self {
+            limiter,
+            organisation,
+        }
     }
 }
 
 impl Drop for WaitingRequest<'_> {
     fn drop(&mut self) {
-        self.desk
+        self.limiter
             .with_allowance(self.organisation, OrganisationAllowance::end_waiting);
     }
 }
--- a/crates/samphiregrade-gateway/src/exchange/mod.rs
+++ b/crates/samphiregrade-gateway/src/exchange/mod.rs
@@ -1,4 +1,4 @@
-//! A request's way: from a client's connection over the decisions to an upstream and back.
+//! The request path: from a client connection through admission and dispatch to an upstream, and back.
 
 mod admission;
 mod attempt;
--- a/crates/samphiregrade-gateway/src/exchange/outcome.rs
+++ b/crates/samphiregrade-gateway/src/exchange/outcome.rs
@@ -1,4 +1,4 @@
-//! How a request ended, for the log and the counters.
+//! Record of a request and its outcome, for the log and the metrics.
 
 use std::ops::{Deref, DerefMut};
 use std::sync::Arc;
@@ -14,73 +14,73 @@
 use crate::model::RequestKind;
 use crate::observe::{Logbook, RequestSample};
 
-/// What keepers told of upstreams before a request was placed.
+/// The survey of upstream accounts before a request was placed.
 #[derive(Clone, Copy, Debug)]
 pub struct SurveyRecord {
-    /// Upstreams of which they told.
+    /// Number of upstreams for which keepers reported an account.
     pub accounts: usize,
-    /// Time that asking them took.
-    pub time: Duration,
+    /// Duration of the survey.
+    pub duration: Duration,
 }
 
-/// The connection on which a request came.
+/// Age of the connection on which a request arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionAge {
-    /// When it was accepted.
+    /// When the connection was accepted.
     pub accepted: Instant,
-    /// Requests that came on it before this one.
+    /// Number of earlier requests on the connection.
     pub earlier_requests: u32,
 }
 
-/// What is told of a request when it has ended.
+/// Record of a request, logged and counted when the request ends.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// Id of the attempt.
+    /// Id of this attempt of the client.
     pub request: SmolStr,
-    /// Its connection.
+    /// Age of the client connection.
     pub connection: ConnectionAge,
-    /// Time from the signal to stop until it came; `None` where it came before.
+    /// Time from the signal to stop until the request arrived; `None` if it arrived before the signal.
     pub stopping: Option<Duration>,
-    /// Program, where it belongs to one.
+    /// Program of the request; empty without one.
     pub program: SmolStr,
-    /// Version of the configuration that decided; 0 without one.
+    /// Version of the configuration in use; 0 without one.
     pub config: u64,
-    /// Organisation that calls, where one is known.
+    /// Organisation of the caller, if known.
     pub organisation: Option<SmolStr>,
-    /// What was counted of its organisation, where it was refused for that.
+    /// Use of the organisation's limit, if the request was refused because of it.
     pub window: Option<WindowUse>,
-    /// Where the token of its organisation's limit came from.
+    /// Source of the token of the organisation's limit.
     pub token: Option<TokenSource>,
-    /// Route; empty without one.
+    /// Name of the route; empty without one.
     pub route: SmolStr,
     /// Kind of the route.
     pub kind: Option<RequestKind>,
-    /// Upstream that it was last sent to.
+    /// Upstream of the last attempt.
     pub upstream: SmolStr,
-    /// Upstreams that it was sent to.
+    /// Number of times that the request was sent to an upstream.
     pub sends: u32,
-    /// Load that the chosen upstream was thought to have.
+    /// Estimated load of the chosen upstream.
     pub load: f64,
-    /// Prompt tokens that the chosen upstream was thought not to have.
+    /// Estimated prompt tokens that the chosen upstream did not have in its cache.
     pub uncached: u32,
-    /// What was asked of keepers before it was placed; `None` where nothing was.
+    /// Survey of the keepers before the request was placed; `None` if there was none.
     pub survey: Option<SurveyRecord>,
-    /// Rank that it had at an engine; `None` where it was not sent to one.
+    /// Rank of the request at the engine; `None` if it was not sent to an engine.
     pub rank: Option<u8>,
-    /// Time that its program had left, where its caller said so.
+    /// Time left until the deadline of the program, if the caller stated one.
     pub program_left: Option<Duration>,
-    /// Status that the client got; 0 where it got none.
+    /// Status sent to the client; 0 if there was none.
     pub status: u16,
-    /// How it ended.
+    /// Outcome of the request.
     pub outcome: &'static str,
-    /// What went wrong on the way.
+    /// Errors that occurred while the request was served.
     pub detail: String,
-    /// When its head was whole.
+    /// When the head of the request was complete.
     pub started: Instant,
-    /// Time until it was first sent to an upstream.
+    /// Time until the request was first sent to an upstream.
     pub before_send: Option<Duration>,
-    /// Time until the head of the answer.
-    pub first_answer: Option<Duration>,
+    /// Time until the head of the response arrived.
+    pub time_to_head: Option<Duration>,
 }
 
 #[derive(Serialize)]
@@ -123,15 +123,15 @@
     total_ms: f64,
 }
 
-/// Outcome of a request whose task ended before the request did: the process ended, or the task failed.
+/// Outcome of a request whose task was dropped before the request ended: the process exited, or the task panicked.
 const DROPPED: &str = "dropped";
 
-fn milliseconds(time: Duration) -> f64 {
-    (time.as_secs_f64() * 10_000.0).round() / 10.0
+fn milliseconds(duration: Duration) -> f64 {
+    (duration.as_secs_f64() * 10_000.0).round() / 10.0
 }
 
 impl RequestRecord {
-    /// Starts the record of a request.
+    /// Creates the record of a request that has just arrived.
     #[must_use]
     pub fn new(request: SmolStr, started: Instant, connection: ConnectionAge) -> Self {
         Self {
@@ -157,11 +157,11 @@
             detail: String::new(),
             started,
             before_send: None,
-            first_answer: None,
+            time_to_head: None,
         }
     }
 
-    /// Adds something that went wrong on the way.
+    /// Appends an error that occurred while the request was served.
     pub fn add_detail(&mut self, detail: &str) {
         if !self.detail.is_empty() {
             self.detail.push_str("; ");
@@ -169,13 +169,13 @@
         self.detail.push_str(detail);
     }
 
-    /// Returns how old what is known of keys is, where callers need them.
+    /// Returns the age of the known keys, if the caller was identified by one.
     fn proof_age(&self, context: &EntryContext) -> Option<Duration> {
         self.organisation.as_ref()?;
         context.freshness.age(BootTime::now())
     }
 
-    /// Writes the line and counts the request.
+    /// Writes the log line and counts the request.
     fn write(&self, context: &EntryContext) {
         let total = self.started.elapsed();
         let age = self.started.duration_since(self.connection.accepted);
@@ -196,14 +196,14 @@
             load: (self.load * 10.0).round() / 10.0,
             uncached: self.uncached,
             accounts: self.survey.map(|survey| survey.accounts),
-            survey_ms: self.survey.map(|survey| milliseconds(survey.time)),
+            survey_ms: self.survey.map(|survey| milliseconds(survey.duration)),
             rank: self.rank,
             program_left_ms: self.program_left.map(milliseconds),
             status: self.status,
             outcome: self.outcome,
             detail: &self.detail,
             before_send_ms: milliseconds(self.before_send.unwrap_or_default()),
-            first_answer_ms: milliseconds(self.first_answer.unwrap_or_default()),
+            first_answer_ms: milliseconds(self.time_to_head.unwrap_or_default()),
             total_ms: milliseconds(total),
         };
         Logbook::global().record("request", &line);
@@ -221,14 +221,15 @@
     }
 }
 
-/// A request under way: counted as such, and told in the log when it ends, in whichever way that is.
+/// Record of a request in progress: counted while it exists, and written to the log when it is dropped, whatever the
+/// outcome.
 pub struct OpenRecord {
     context: Arc<EntryContext>,
     record: RequestRecord,
 }
 
 impl OpenRecord {
-    /// Begins the record of a request that has come.
+    /// Counts a request as in progress until its record is dropped.
     #[must_use]
     pub fn begin(context: Arc<EntryContext>, mut record: RequestRecord) -> Self {
         context.begin_request();
--- a/crates/samphiregrade-gateway/src/exchange/refusal.rs
+++ b/crates/samphiregrade-gateway/src/exchange/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the instance's own, and what they promise.
+//! Refusals: responses that the instance itself sends, which say whether the request may have run.
 
 use std::time::Duration;
 
@@ -7,61 +7,61 @@
 use crate::dialect::Dialect;
 use crate::limits::WindowUse;
 
-/// Shortest time after which a refused client is asked to come back: an upstream's queue moves within it.
-const SHORT_WAIT: Duration = Duration::from_millis(80);
+/// Retry-After time of a refusal for lack of an upstream: an upstream's queue advances within it.
+const UPSTREAM_RETRY_AFTER: Duration = Duration::from_millis(80);
 
-/// Time after which a client comes back to an instance that knows nothing yet.
-const START_WAIT: Duration = Duration::from_millis(300);
+/// Retry-After time of a refusal by an instance that lacks a configuration or a connection to the keepers.
+const UNREADY_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Time after the cut within which clients of an instance that is cut off are sent to another one: it notices
-/// within six tenths of a second, and the platform asks twice, a second apart.
-const ELSEWHERE_AFTER: Duration = Duration::from_millis(2700);
+/// Time after an instance was cut off until its clients' new connections go to another instance: the instance detects
+/// the cut within 0.6 seconds, and the platform probes its readiness twice, one second apart.
+const FAILOVER_TIME: Duration = Duration::from_millis(2700);
 
-/// Why a request gets an answer of the instance's own.
+/// Why the instance refuses a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RefusalReason {
-    /// The head is malformed.
+    /// The request head is malformed.
     Malformed,
-    /// The head is too long.
+    /// The request head is too long.
     HeadTooLarge,
-    /// The body is too long.
+    /// The request body is too long.
     BodyTooLarge,
     /// The client took too long to send its request.
     TooSlow,
     /// No route matches.
     NoRoute,
-    /// The route asks for a key, and no such key is known.
+    /// The route requires a key, and the key of the request is unknown.
     UnknownKey,
-    /// What is known of keys is too old to vouch for; it has not run.
+    /// The known keys are too old to rely on; the request has not run.
     KeysUnproved,
-    /// The organisation has made as many requests as it may; it has not run.
+    /// The organisation has reached its request limit; the request has not run.
     OverLimit,
-    /// No home can say whether the organisation is within its limit; it has not run.
+    /// No home could confirm that the organisation is within its limit; the request has not run.
     LimitUnproved,
-    /// No configuration is known yet.
+    /// No configuration has been received yet.
     NoConfiguration,
-    /// No upstream takes the request; it has not run.
+    /// No upstream accepts the request; the request has not run.
     NoUpstream,
-    /// Upstreams said that they did not run it.
+    /// The upstreams reported that they did not run the request.
     NotExecuted,
-    /// No keeper can say or store what the turn needs; it has not run.
+    /// The keepers could not read or store what the turn needs; the request has not run.
     NoKeepers,
-    /// The turn that it continues from does not exist.
+    /// The previous turn that the request continues from does not exist.
     NoSuchTurn,
-    /// The program's budget does not hold the turn.
+    /// The program's token budget does not cover the turn.
     OverBudget,
-    /// The instance stops and takes no more work; it has not run.
+    /// The instance is stopping and accepts no more work; the request has not run.
     Stopping,
-    /// Time ran out before anything was sent.
+    /// The request timed out before anything was sent to an upstream.
     LateUnsent,
-    /// Time ran out; the request may have run.
+    /// The request timed out; it may have run.
     Late,
-    /// The upstream broke off; the request may have run.
+    /// The upstream failed during the request; the request may have run.
     Broken,
 }
 
 impl RefusalReason {
-    /// Returns the reason's name in logs.
+    /// Returns the name used in the log and in the body of the refusal.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Returns the status code.
+    /// Returns the HTTP status code.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
@@ -112,26 +112,26 @@
         }
     }
 
-    /// Returns whether a request that is refused for it may have run.
+    /// Returns whether a request refused for this reason may have run.
     #[must_use]
     pub fn may_have_run(self) -> bool {
         matches!(self, Self::Late | Self::Broken)
     }
 
-    fn wait(self) -> Option<Duration> {
+    fn default_retry_after(self) -> Option<Duration> {
         match self {
             Self::NoConfiguration | Self::KeysUnproved | Self::LimitUnproved | Self::NoKeepers => {
-                Some(START_WAIT)
+                Some(UNREADY_RETRY_AFTER)
             }
-            // A stopping instance closes its listener, so that the next connection goes elsewhere.
+            // A stopping instance closes its listener, so the next connection goes to another instance.
             Self::NoUpstream | Self::NotExecuted | Self::Stopping | Self::LateUnsent => {
-                Some(SHORT_WAIT)
+                Some(UPSTREAM_RETRY_AFTER)
             }
             _ => None,
         }
     }
 
-    fn closes(self) -> bool {
+    fn closes_connection(self) -> bool {
         matches!(
             self,
             Self::Malformed
@@ -143,53 +143,56 @@
     }
 }
 
-/// A refusal with what it tells the client.
+/// A refusal with the details that are sent to the client.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// When the client should come back, where that helps.
+    /// Time after which the client should retry, if a retry can succeed.
     pub retry_after: Option<Duration>,
-    /// What was counted of the caller's organisation, where that decided.
+    /// Use of the organisation's limit, if the refusal is because of it.
     pub window: Option<WindowUse>,
 }
 
 impl From<RefusalReason> for Refusal {
     fn from(reason: RefusalReason) -> Self {
-        // Spread, so that clients refused together don't come back together.
-        let spread = rand::random_range(0.6..1.4);
+        // Jitter keeps clients that were refused together from retrying together.
+        let jitter = rand::random_range(0.6..1.4);
         Self {
             reason,
-            retry_after: reason.wait().map(|wait| wait.mul_f64(spread)),
+            retry_after: reason
+                .default_retry_after()
+                .map(|wait| wait.mul_f64(jitter)),
             window: None,
         }
     }
 }
 
 impl Refusal {
-    /// Tells a client of an instance that is cut off when its next connection goes to another one.
+    /// Extends the Retry-After time while the instance is cut off, until the client's next connection goes to another
+    /// instance.
     #[must_use]
     pub fn while_cut_off(mut self, cut_off_for: Duration) -> Self {
-        let elsewhere = ELSEWHERE_AFTER.saturating_sub(cut_off_for);
-        let elsewhere_helps = matches!(
+        let failover_in = FAILOVER_TIME.saturating_sub(cut_off_for);
+        let failover_helps = matches!(
             self.reason,
             RefusalReason::KeysUnproved | RefusalReason::LimitUnproved | RefusalReason::NoKeepers
         );
-        if elsewhere_helps && !cut_off_for.is_zero() {
-            self.retry_after = self.retry_after.max(Some(elsewhere));
+        if failover_helps && !cut_off_for.is_zero() {
+            self.retry_after = self.retry_after.max(Some(failover_in));
         }
         self
     }
 
-    /// Encodes the whole answer; returns whether the connection can be kept after it.
+    /// Encodes the complete response; returns whether the connection can be kept open after it.
     pub fn encode(
         &self,
         dialect: &dyn Dialect,
         request: Option<&str>,
-        keep: bool,
+        keep_alive: bool,
         output: &mut BytesMut,
     ) -> bool {
-        let keep = keep && !self.reason.closes();
+        let keep_alive = keep_alive && !self.reason.closes_connection();
         let status = self.reason.status();
         let body = format!("{{\"error\":\"{}\"}}", self.reason.name());
         let head = format!(
@@ -199,12 +202,12 @@
         );
         output.put_slice(head.as_bytes());
         dialect.write_refusal_headers(request, self.retry_after, output);
-        if !keep {
+        if !keep_alive {
             output.put_slice(b"Connection: close\r\n");
         }
         output.put_slice(b"\r\n");
         output.put_slice(body.as_bytes());
-        keep
+        keep_alive
     }
 }
 
--- a/crates/samphiregrade-gateway/src/exchange/relay.rs
+++ b/crates/samphiregrade-gateway/src/exchange/relay.rs
@@ -1,4 +1,4 @@
-//! Passing an answer on as it comes, and holding its end back until the turn is durable.
+//! Relays a response to the client as it arrives, and withholds its end until the turn is durable.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 
 use tokio_util::sync::CancellationToken;
 
-use super::attempt::LiveAnswer;
+use super::attempt::LiveResponse;
 use super::context::EntryContext;
 use super::events::EventParser;
 use super::refusal::RefusalReason;
@@ -18,15 +18,15 @@
 use crate::model::UpstreamRecord;
 use crate::upstream::{AnsweredRequest, Outcome};
 
-/// Silence of an answer after which it is given up where the way to its upstream was found to be cut: a lost packet is
-/// sent again within it, and callers wait some two seconds before they leave by themselves.
-const SILENT_ON_LOST_PATH: Duration = Duration::from_millis(500);
+/// Time without data after which a response is abandoned if the network path to its upstream was found to be broken: a
+/// lost packet is resent within this time, and callers wait about two seconds before they disconnect.
+const BROKEN_PATH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time that commits under way get when what is left is given up: only the answers' ends are missing, and a commit takes
-/// some milliseconds. Short against the time that the last answers get.
-const LAST_COMMITS: Duration = Duration::from_millis(150);
+/// Time that pending commits get when the remaining requests are aborted: only the ends of their responses are missing,
+/// and a commit takes a few milliseconds. The time is short compared with the time for writing the last responses.
+const FINAL_COMMIT_TIME: Duration = Duration::from_millis(150);
 
-/// How the client is told where the body ends.
+/// How the response to the client marks the end of the body.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum ClientFraming {
     AsIs,
@@ -34,53 +34,53 @@
     Close,
 }
 
-/// How a relayed answer ended.
+/// How a relayed response ended.
 #[derive(Clone, Debug)]
 pub enum RelayEnd {
-    /// The client has the whole answer.
-    Whole {
-        /// Its status.
+    /// The complete response was sent to the client.
+    Complete {
+        /// Status of the response.
         status: u16,
-        /// Tokens handed out.
+        /// Tokens sent to the client.
         spent: u32,
     },
-    /// It broke before the client got any of it.
+    /// The response failed before any of it was sent to the client.
     NothingSent {
-        /// Why.
+        /// Reason of the refusal.
         reason: RefusalReason,
-        /// What went wrong.
+        /// Description of the failure.
         detail: String,
     },
-    /// It broke off; the client sees that it isn't whole.
-    Cut {
-        /// How it ended, for the log.
+    /// The response failed partway; the client can detect that it is incomplete.
+    Truncated {
+        /// Outcome for the log.
         outcome: &'static str,
-        /// What went wrong.
+        /// Description of the failure.
         detail: String,
-        /// Tokens handed out.
+        /// Tokens sent to the client.
         spent: u32,
     },
 }
 
 /// Why the relay stopped.
-enum Stop {
+enum RelayStop {
     Upstream(String),
-    /// The way to the upstream is cut.
+    /// The network path to the upstream is broken.
     Path,
     Client,
-    Due,
+    Deadline,
     NotDurable,
-    /// The instance ends.
+    /// The instance is stopping.
     Stopping,
 }
 
-/// The client of a relayed answer.
+/// The client of a relayed response.
 pub struct RelayClient<'connection> {
-    /// Its connection.
+    /// Connection of the client.
     pub socket: &'connection mut WireSocket,
-    /// Whether the connection goes on after the answer.
-    pub keep: bool,
-    /// Ends what is under way.
+    /// Whether the connection stays open after the response.
+    pub keep_alive: bool,
+    /// Aborts the requests in progress when cancelled.
     pub abort: &'connection CancellationToken,
 }
 
@@ -89,30 +89,30 @@
     client: RelayClient<'exchange>,
     request: &'exchange RoutedRequest,
     turn: Option<&'exchange TurnPlan>,
-    tap: EventParser,
+    parser: EventParser,
     framing: ClientFraming,
-    begun: bool,
+    started: bool,
 }
 
-/// Relays an answer to the client.
-pub async fn relay_answer(
+/// Relays a response to the client.
+pub async fn relay_response(
     context: &EntryContext,
     client: RelayClient<'_>,
     request: &RoutedRequest,
     turn: Option<&TurnPlan>,
-    mut answer: LiveAnswer,
+    mut response: LiveResponse,
     uncached: u32,
 ) -> RelayEnd {
-    let retained = turn.is_some_and(|plan| plan.retained) && answer.head.status == 200;
-    let framing = match answer.framing {
+    let retained = turn.is_some_and(|plan| plan.retained) && response.head.status == 200;
+    let framing = match response.framing {
         _ if request.head.minor_version == 0 => ClientFraming::Close,
         BodyFraming::Empty | BodyFraming::Length(_) if !retained => ClientFraming::AsIs,
         _ => ClientFraming::Chunked,
     };
-    let status = answer.head.status;
+    let status = response.head.status;
     if framing == ClientFraming::Close {
-        // Nothing but the connection's end tells that the answer is whole: until it is, every other end is a reset,
-        // also that of a process or of a task that fails.
+        // Only an orderly close of the connection marks the response as complete. Any earlier end is a reset, including
+        // an exit of the process or a panic of the task.
         client.socket.reset_on_close();
     }
     let mut relay = Relay {
@@ -120,13 +120,13 @@
         client,
         request,
         turn,
-        tap: EventParser::new(retained),
+        parser: EventParser::new(retained),
         framing,
-        begun: false,
+        started: false,
     };
-    let result = relay.run(&mut answer, retained).await;
-    if let Some(outcome) = outcome_of(&result, &answer) {
-        let upstream = answer.guard.upstream().start_tag;
+    let result = relay.run(&mut response, retained).await;
+    if let Some(outcome) = upstream_outcome(&result, &response) {
+        let upstream = response.guard.upstream().start_tag;
         context.outcomes.note(upstream, outcome, Instant::now());
     }
     let spent = relay.spent();
@@ -134,39 +134,39 @@
         let answered = AnsweredRequest {
             uncached,
             generated_tokens: spent,
-            time_to_head: answer.first,
-            total: answer.sent.elapsed(),
+            time_to_head: response.time_to_head,
+            total: response.sent_at.elapsed(),
         };
         context.record_times(&request.service, &answered);
     }
     let end = match result {
         Ok(()) => {
-            keep_connection(answer);
-            RelayEnd::Whole { status, spent }
+            reuse_connection(response);
+            RelayEnd::Complete { status, spent }
         }
-        Err(stop) => relay.explain(stop, &answer, spent),
+        Err(stop) => relay.describe_end(stop, &response, spent),
     };
-    if framing == ClientFraming::Close && !matches!(end, RelayEnd::Cut { .. }) {
+    if framing == ClientFraming::Close && !matches!(end, RelayEnd::Truncated { .. }) {
         relay.client.socket.close_in_order();
     }
     end
 }
 
 impl Relay<'_> {
-    /// Returns the tokens of all events of which the client may have seen something.
+    /// Returns the tokens of all events of which the client may have received a part.
     fn spent(&self) -> u32 {
         let per_event = self.turn.map_or(0, |plan| plan.tokens_per_event);
-        self.tap.started_events().saturating_mul(per_event)
+        self.parser.started_events().saturating_mul(per_event)
     }
 
-    async fn run(&mut self, answer: &mut LiveAnswer, retained: bool) -> Result<(), Stop> {
+    async fn run(&mut self, response: &mut LiveResponse, retained: bool) -> Result<(), RelayStop> {
         let mut output = BytesMut::with_capacity(1024);
-        self.write_head(&answer.head, &mut output);
+        self.write_head(&response.head, &mut output);
         loop {
-            let ended = self.take_pieces(answer, &mut output)?;
+            let ended = self.transfer_body(response, &mut output)?;
             if ended && retained {
                 self.flush(&mut output).await?;
-                self.commit(&answer.guard.upstream().record).await?;
+                self.commit(&response.guard.upstream().record).await?;
             }
             if ended {
                 if self.framing == ClientFraming::Chunked {
@@ -174,48 +174,48 @@
                 }
                 return self.flush(&mut output).await;
             }
-            if self.tap_has_begun(&output) {
+            if self.has_body_output(&output) {
                 self.flush(&mut output).await?;
             }
             let count = tokio::select! {
                 biased;
-                read = answer.socket.fill() => read.map_err(|error| Stop::Upstream(error.to_string()))?,
-                () = self.client.socket.hung_up() => return Err(Stop::Client),
-                () = self.client.abort.cancelled() => return Err(Stop::Stopping),
-                () = tokio::time::sleep_until(self.request.due.into()) => return Err(Stop::Due),
-                () = answer.guard.upstream().wait_until_unreachable(SILENT_ON_LOST_PATH) => return Err(Stop::Path),
+                read = response.socket.fill() => read.map_err(|error| RelayStop::Upstream(error.to_string()))?,
+                () = self.client.socket.hung_up() => return Err(RelayStop::Client),
+                () = self.client.abort.cancelled() => return Err(RelayStop::Stopping),
+                () = tokio::time::sleep_until(self.request.due.into()) => return Err(RelayStop::Deadline),
+                () = response.guard.upstream().wait_until_unreachable(BROKEN_PATH_TIMEOUT) => return Err(RelayStop::Path),
             };
-            answer
+            response
                 .guard
                 .upstream()
                 .record_domain_response(Instant::now());
             if count == 0 {
-                let closed = answer.decoder.close();
-                closed.map_err(|error| Stop::Upstream(error.to_string()))?;
+                let closed = response.decoder.close();
+                closed.map_err(|error| RelayStop::Upstream(error.to_string()))?;
             }
         }
     }
 
-    /// Returns whether there is a piece of the body to pass on; the head alone waits for it.
-    fn tap_has_begun(&self, output: &BytesMut) -> bool {
-        self.begun && !output.is_empty()
+    /// Returns whether a part of the body is ready to be written; the head is not written without one.
+    fn has_body_output(&self, output: &BytesMut) -> bool {
+        self.started && !output.is_empty()
     }
 
-    /// Moves what has come to the output; returns whether the body is whole.
-    fn take_pieces(
+    /// Moves received parts of the body to the output; returns whether the body is complete.
+    fn transfer_body(
         &mut self,
-        answer: &mut LiveAnswer,
+        response: &mut LiveResponse,
         output: &mut BytesMut,
-    ) -> Result<bool, Stop> {
+    ) -> Result<bool, RelayStop> {
         loop {
-            let piece = answer.decoder.take(&mut answer.socket.buffer);
-            match piece.map_err(|error| Stop::Upstream(error.to_string()))? {
+            let piece = response.decoder.take(&mut response.socket.buffer);
+            match piece.map_err(|error| RelayStop::Upstream(error.to_string()))? {
                 BodyPiece::End => return Ok(true),
                 BodyPiece::More => return Ok(false),
                 BodyPiece::Data(data) => {
-                    self.begun = true;
-                    if self.turn.is_some() && answer.head.status == 200 {
-                        self.tap.read(&data);
+                    self.started = true;
+                    if self.turn.is_some() && response.head.status == 200 {
+                        self.parser.read(&data);
                     }
                     match self.framing {
                         ClientFraming::Chunked => append_chunk(output, &data),
@@ -226,39 +226,39 @@
         }
     }
 
-    async fn flush(&mut self, output: &mut BytesMut) -> Result<(), Stop> {
+    async fn flush(&mut self, output: &mut BytesMut) -> Result<(), RelayStop> {
         if output.is_empty() {
             return Ok(());
         }
-        self.begun = true;
+        self.started = true;
         let bytes: Bytes = output.split().freeze();
         let writing = self.client.socket.write(&bytes);
         tokio::select! {
             biased;
-            written = writing => written.map_err(|_| Stop::Client),
-            () = self.client.abort.cancelled() => Err(Stop::Stopping),
-            () = tokio::time::sleep_until(self.request.due.into()) => Err(Stop::Due),
+            written = writing => written.map_err(|_| RelayStop::Client),
+            () = self.client.abort.cancelled() => Err(RelayStop::Stopping),
+            () = tokio::time::sleep_until(self.request.due.into()) => Err(RelayStop::Deadline),
         }
     }
 
-    async fn commit(&mut self, upstream: &UpstreamRecord) -> Result<(), Stop> {
+    async fn commit(&mut self, upstream: &UpstreamRecord) -> Result<(), RelayStop> {
         let Some(plan) = self.turn else {
             return Ok(());
         };
         let spent = self.spent();
-        let output = self.tap.take_output();
+        let output = self.parser.take_output();
         let mut chain = BytesMut::with_capacity(self.request.body.len() + output.len());
         chain.put_slice(&self.request.body);
         chain.put_slice(&output);
         tokio::select! {
             biased;
             committed = plan.commit(self.context, output, spent, upstream) => {
-                committed.map_err(|_| Stop::NotDurable)?;
+                committed.map_err(|_| RelayStop::NotDurable)?;
             }
-            () = last_commits(self.client.abort) => return Err(Stop::Stopping),
-            () = tokio::time::sleep_until(self.request.due.into()) => return Err(Stop::Due),
+            () = final_commit_timeout(self.client.abort) => return Err(RelayStop::Stopping),
+            () = tokio::time::sleep_until(self.request.due.into()) => return Err(RelayStop::Deadline),
         }
-        self.context.turns.keep(&plan.turn, chain.freeze());
+        self.context.turns.insert(&plan.turn, chain.freeze());
         Ok(())
     }
 
@@ -274,42 +274,42 @@
         if self.framing == ClientFraming::Chunked {
             output.put_slice(b"Transfer-Encoding: chunked\r\n");
         }
-        if !self.client.keep {
+        if !self.client.keep_alive {
             output.put_slice(b"Connection: close\r\n");
         }
         output.put_slice(b"\r\n");
     }
 
-    fn explain(&self, stop: Stop, answer: &LiveAnswer, spent: u32) -> RelayEnd {
-        let upstream = answer.guard.upstream();
+    fn describe_end(&self, stop: RelayStop, response: &LiveResponse, spent: u32) -> RelayEnd {
+        let upstream = response.guard.upstream();
         let (outcome, detail, reason) = match stop {
-            Stop::Upstream(error) => {
+            RelayStop::Upstream(error) => {
                 upstream.record_failure(Instant::now(), false);
                 let detail = format!("{} broke off: {error}", upstream.record.id);
                 ("upstream-broke-off", detail, RefusalReason::Broken)
             }
-            Stop::Path => {
-                let detail = format!("the way to {} is cut", upstream.record.id);
+            RelayStop::Path => {
+                let detail = format!("the network path to {} is broken", upstream.record.id);
                 ("upstream-unreachable", detail, RefusalReason::Broken)
             }
-            Stop::Client => ("client-gone", String::new(), RefusalReason::Broken),
-            Stop::Due => {
-                let detail = format!("{} was not done in time", upstream.record.id);
+            RelayStop::Client => ("client-gone", String::new(), RefusalReason::Broken),
+            RelayStop::Deadline => {
+                let detail = format!("{} did not finish in time", upstream.record.id);
                 ("late", detail, RefusalReason::Late)
             }
-            Stop::NotDurable => {
+            RelayStop::NotDurable => {
                 let detail = "too few keepers confirmed the turn".to_owned();
                 ("not-durable", detail, RefusalReason::Broken)
             }
-            Stop::Stopping => {
-                let detail = "the instance stops".to_owned();
+            RelayStop::Stopping => {
+                let detail = "the instance is stopping".to_owned();
                 ("stopped", detail, RefusalReason::Broken)
             }
         };
-        if !self.begun && outcome != "client-gone" {
+        if !self.started && outcome != "client-gone" {
             return RelayEnd::NothingSent { reason, detail };
         }
-        RelayEnd::Cut {
+        RelayEnd::Truncated {
             outcome,
             detail,
             spent,
@@ -317,35 +317,41 @@
     }
 }
 
-/// Ends when a commit can't be waited for any longer because the instance ends.
-async fn last_commits(abort: &CancellationToken) {
+/// Resolves when the instance, while stopping, can no longer wait for pending commits.
+async fn final_commit_timeout(abort: &CancellationToken) {
     abort.cancelled().await;
-    tokio::time::sleep(LAST_COMMITS).await;
+    tokio::time::sleep(FINAL_COMMIT_TIME).await;
 }
 
-/// Returns what the answer says about its upstream; `None` where it ended for another reason.
-fn outcome_of(result: &Result<(), Stop>, answer: &LiveAnswer) -> Option<Outcome> {
-    let failed = answer.head.status >= 500;
+/// Returns what the response says about the health of its upstream; `None` if it ended for an unrelated reason.
+fn upstream_outcome(result: &Result<(), RelayStop>, response: &LiveResponse) -> Option<Outcome> {
+    let failed = response.head.status >= 500;
     match result {
-        // The deadline passed while it worked: it may have been busy.
-        Ok(()) if answer.head.status == 504 => None,
+        // The deadline passed while the upstream was working; it may only have been busy.
+        Ok(()) if response.head.status == 504 => None,
         Ok(()) if failed => Some(Outcome::Failure),
-        Ok(()) if answer.probes => Some(Outcome::Recovered),
+        Ok(()) if response.is_probe => Some(Outcome::Recovered),
         Ok(()) => Some(Outcome::Success),
-        Err(Stop::Upstream(_)) => Some(Outcome::Failure),
-        Err(Stop::Path | Stop::Client | Stop::Due | Stop::NotDurable | Stop::Stopping) => None,
+        Err(RelayStop::Upstream(_)) => Some(Outcome::Failure),
+        Err(
+            RelayStop::Path
+            | RelayStop::Client
+            | RelayStop::Deadline
+            | RelayStop::NotDurable
+            | RelayStop::Stopping,
+        ) => None,
     }
 }
 
-/// Keeps the upstream's connection where nothing unexpected came on it.
-fn keep_connection(answer: LiveAnswer) {
-    if !answer.reusable || !answer.socket.buffer.is_empty() {
+/// Keeps the connection to the upstream for reuse if no unexpected bytes arrived on it.
+fn reuse_connection(response: LiveResponse) {
+    if !response.reusable || !response.socket.buffer.is_empty() {
         return;
     }
-    let stated = answer
+    let stated_idle = response
         .head
         .idle_seconds()
         .map(std::time::Duration::from_secs);
-    let upstream = answer.guard.upstream().clone();
-    upstream.keep_idle(answer.socket, stated, Instant::now());
+    let upstream = response.guard.upstream().clone();
+    upstream.keep_idle(response.socket, stated_idle, Instant::now());
 }
--- a/crates/samphiregrade-gateway/src/exchange/request.rs
+++ b/crates/samphiregrade-gateway/src/exchange/request.rs
@@ -1,4 +1,4 @@
-//! One request as it goes through the decisions.
+//! A request with the state that admission and dispatch decide on.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,68 +13,69 @@
 
 use super::limit_desk::LimitToken;
 use super::survey::PlacementView;
-use super::turn::ProgramStanding;
+use super::turn::ProgramState;
 
-/// A request whose route and service are known, with its whole body.
+/// A request whose route and service are known, with its complete body.
 pub struct RoutedRequest {
-    /// Who calls.
+    /// Identity of the caller.
     pub caller: CallerIdentity,
-    /// Token of its organisation's limit, once it has one.
+    /// Token of the organisation's limit; `None` before admission and without a limit.
     pub token: Option<LimitToken>,
-    /// Version of the configuration that decided.
+    /// Version of the configuration in use.
     pub version: ConfigVersion,
-    /// Head as the client sent it.
+    /// Request head as sent by the client.
     pub head: RequestHead,
-    /// What the head says.
+    /// Metadata of the head.
     pub metadata: RequestMetadata,
-    /// Id of the attempt.
+    /// Id of this attempt of the client.
     pub id: SmolStr,
     /// Body for the upstream.
     pub body: Bytes,
-    /// What the keepers know of its program.
-    pub standing: ProgramStanding,
-    /// How the upstreams stand that matter to it.
+    /// State of the program, as reported by the keepers.
+    pub program_state: ProgramState,
+    /// Homes and accounts of the upstreams that are relevant for placement.
     pub view: PlacementView,
-    /// Place of its route's priority among those of its service.
+    /// Position of the request's priority among all priorities of the service.
     pub urgency: UrgencyClass,
-    /// The route.
+    /// Route of the request.
     pub route: Arc<RouteRecord>,
-    /// The service.
+    /// Service of the request.
     pub service: Arc<ServiceRecord>,
-    /// What requests of the service take.
+    /// Measured request times of the service.
     pub times: ServiceTimes,
-    /// When the head was whole.
+    /// When the request head was complete.
     pub started: Instant,
-    /// When it has to be answered.
+    /// Deadline of the response.
     pub due: Instant,
 }
 
 impl RoutedRequest {
-    /// Returns the tokens that an upstream would have to read where the turn before ran there.
+    /// Returns the prompt tokens that an upstream would have to process, if the previous turn ran there.
     #[must_use]
-    pub fn uncached_at_last_place(&self, upstream: &UpstreamRecord) -> Option<u32> {
+    pub fn uncached_since_last_turn(&self, upstream: &UpstreamRecord) -> Option<u32> {
         let place =
-            self.standing.last_place.as_ref().filter(|place| {
+            self.program_state.last_place.as_ref().filter(|place| {
                 place.upstream == upstream.id && place.started == upstream.started
             })?;
         let prompt = self.metadata.usage?.prompt;
         Some(prompt.saturating_sub(place.tokens))
     }
 
-    /// Returns whether it is the first request of a program, as far as its head tells.
+    /// Returns whether this is the first request of a program, according to its head.
     #[must_use]
-    pub fn begins_program(&self) -> bool {
+    pub fn starts_program(&self) -> bool {
         let is_turn = self.service.engine.is_some() && self.metadata.program.is_some();
         is_turn && self.metadata.previous_turn.is_none()
     }
 
-    /// Returns the rank for the engine.
+    /// Returns the rank of the request at the engine.
     #[must_use]
     pub fn rank(&self) -> u8 {
         turn_rank(self.urgency, &self.progress(), &TurnPace::from(&self.times))
     }
 
-    /// Returns whether its answer should begin at once: it is no turn that may have to wait behind others.
+    /// Returns whether the head of the response is expected without delay: the request is not a turn that may have to
+    /// wait behind others.
     #[must_use]
     pub fn expects_early_head(&self) -> bool {
         if self.service.engine.is_none() {
@@ -84,22 +85,22 @@
         progress.has_begun() && !progress.is_late(&TurnPace::from(&self.times))
     }
 
-    /// Returns whether its caller may send it again where it is not known whether it ran: it may run more than once,
-    /// or it is a turn, which leaves nothing behind but its answer.
+    /// Returns whether the request may be sent again when it is unknown whether it ran: its route allows repeats, or it
+    /// is a turn, which has no effect other than its response.
     #[must_use]
     pub fn may_resend(&self) -> bool {
         let is_turn = self.service.engine.is_some() && self.metadata.program.is_some();
         self.route.may_repeat() || is_turn
     }
 
-    /// Returns whether it may be sent to an upstream that is doubted, to see whether that has recovered.
+    /// Returns whether the request may be sent to a suspected upstream, to find out whether the upstream has recovered.
     #[must_use]
     pub fn may_probe(&self) -> bool {
         self.route.may_repeat() || (self.may_resend() && !self.progress().has_begun())
     }
 
     fn progress(&self) -> ProgramProgress {
-        let mut progress = self.standing.progress;
+        let mut progress = self.program_state.progress;
         progress.time_left = self.metadata.program_deadline;
         if let Some(program) = &self.metadata.program {
             progress.tag = blake3::hash(program.as_bytes()).as_bytes()[0];
@@ -110,14 +111,14 @@
         progress
     }
 
-    /// Notes that it may have run: its token is not given back.
+    /// Records that the request may have run, so that its token is not returned.
     pub fn spend_token(&mut self) {
         if let Some(token) = &mut self.token {
             token.spend();
         }
     }
 
-    /// Returns the time that is left.
+    /// Returns the time left until the deadline.
     #[must_use]
     pub fn time_left(&self, now: Instant) -> Duration {
         self.due.saturating_duration_since(now)
--- a/crates/samphiregrade-gateway/src/exchange/survey.rs
+++ b/crates/samphiregrade-gateway/src/exchange/survey.rs
@@ -1,4 +1,4 @@
-//! What a request that goes to an engine needs to know before it is placed: how the engines stand that matter to it.
+//! Survey of a request for an engine: the keepers' accounts of the engines that are relevant for its placement.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,28 +12,28 @@
     rank_homes,
 };
 
-/// Longest wait for the keepers' accounts: several round trips within a region. A keeper that is just being cut off
-/// costs a turn no more than that; reading one first part again costs an engine more.
-const SURVEY_WAIT: Duration = Duration::from_millis(20);
+/// Timeout of the queries for accounts: several round trips within a region. A keeper that has just become unreachable
+/// delays a turn by no more than this; processing a shared prefix again costs an engine more.
+const SURVEY_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Homes of the first part that are asked for at most.
-const HOMES_ASKED: usize = 5;
+/// Maximum number of the shared prefix's homes whose accounts are queried.
+const MAX_HOMES: usize = 5;
 
-/// Engines after the homes that are asked for: where homes are full, all entries turn to the same ones, which have
-/// the part then.
-const SPARES_ASKED: usize = 2;
+/// Number of engines after the homes whose accounts are also queried: if the homes are full, all entries fall back to
+/// the same engines, which then have the prefix cached.
+const SPARE_ENGINES: usize = 2;
 
-/// What is known of a service's upstreams when a request is about to be placed.
+/// What is known about a service's upstreams when a request is placed.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementView {
-    /// Homes of the first part of its prompt.
+    /// Homes of the shared prefix of the prompt.
     pub homes: Vec<UpstreamTag>,
-    /// Accounts of the upstreams that matter.
+    /// Accounts of the relevant upstreams.
     pub accounts: Vec<UpstreamAccount>,
 }
 
 impl PlacementView {
-    /// Returns the account of an upstream, where there is one.
+    /// Returns the account of an upstream, if there is one.
     #[must_use]
     pub fn account(&self, upstream: UpstreamTag) -> Option<&UpstreamAccount> {
         self.accounts
@@ -42,7 +42,8 @@
     }
 }
 
-/// Asks the keepers how the engines stand that matter to a request: its last place, and the homes of its first part.
+/// Queries the keepers for the accounts of the engines that are relevant for a request: the one that ran the previous
+/// turn, and the homes of the shared prefix.
 pub async fn survey(context: &EntryContext, request: &RoutedRequest) -> PlacementView {
     let prompt = &request.metadata.prompt;
     let (Some(part), Some(engine)) = (prompt.first(), &request.service.engine) else {
@@ -51,23 +52,23 @@
     let first = SharedPrefix {
         tag: part.tag,
         tokens: part.tokens,
-        share: context.first_parts.count(part.tag, Instant::now()),
+        share: context.prefix_shares.count(part.tag, Instant::now()),
         capacity: engine.cache_tokens,
     };
     let SurveyPlan { homes, upstreams } = plan_survey(context, request, &first);
-    let question = AccountQuery {
+    let query = AccountQuery {
         service: request.service.name.clone(),
         upstreams,
         prompt: prompt.clone(),
     };
     let accounts = match context.keepers.load_full() {
-        Some(keepers) => keepers.query_accounts(&question, SURVEY_WAIT).await,
+        Some(keepers) => keepers.query_accounts(&query, SURVEY_TIMEOUT).await,
         None => Vec::new(),
     };
     PlacementView { homes, accounts }
 }
 
-/// Which engines are asked about.
+/// The engines of a survey.
 struct SurveyPlan {
     homes: Vec<UpstreamTag>,
     upstreams: Vec<UpstreamTag>,
@@ -79,23 +80,26 @@
     first: &SharedPrefix,
 ) -> SurveyPlan {
     let directory = context.directory.load();
-    let fit: Vec<_> = directory
+    let eligible: Vec<_> = directory
         .of(&request.service.name)
         .iter()
         .filter(|upstream| upstream.takes_requests())
         .collect();
-    let engines: Vec<u64> = fit.iter().map(|upstream| upstream.tag).collect();
+    let engines: Vec<u64> = eligible.iter().map(|upstream| upstream.tag).collect();
     let ranking = rank_homes(first, &engines);
-    let homes = ranking.homes().iter().map(|&index| fit[index].start_tag);
+    let homes = ranking
+        .homes()
+        .iter()
+        .map(|&index| eligible[index].start_tag);
     let homes = homes.collect();
-    let mut upstreams = Vec::with_capacity(1 + HOMES_ASKED + SPARES_ASKED);
-    for upstream in &fit {
-        if request.uncached_at_last_place(&upstream.record).is_some() {
+    let mut upstreams = Vec::with_capacity(1 + MAX_HOMES + SPARE_ENGINES);
+    for upstream in &eligible {
+        if request.uncached_since_last_turn(&upstream.record).is_some() {
             upstreams.push(upstream.start_tag);
         }
     }
-    for index in ranking.sample(HOMES_ASKED, SPARES_ASKED, &mut rand::rng()) {
-        let tag = fit[index].start_tag;
+    for index in ranking.sample(MAX_HOMES, SPARE_ENGINES, &mut rand::rng()) {
+        let tag = eligible[index].start_tag;
         if !upstreams.contains(&tag) {
             upstreams.push(tag);
         }
@@ -103,14 +107,14 @@
     SurveyPlan { homes, upstreams }
 }
 
-/// A request that counts as being at an upstream, here and at the keepers that account for the upstream.
+/// Guard of a request that counts as running at an upstream, both here and in the accounts of the keepers.
 pub struct RunGuard {
     in_flight: InFlightGuard,
-    _told: Option<ToldRun>,
+    _reported: Option<ReportedRun>,
 }
 
 impl RunGuard {
-    /// Counts a request that is about to be sent, until the guard is dropped.
+    /// Counts a request as running at an upstream until the guard is dropped.
     #[must_use]
     pub fn begin(
         context: &EntryContext,
@@ -119,7 +123,7 @@
     ) -> Self {
         Self {
             in_flight: upstream.begin(),
-            _told: ToldRun::begin(context, request, upstream),
+            _reported: ReportedRun::begin(context, request, upstream),
         }
     }
 
@@ -130,14 +134,14 @@
     }
 }
 
-/// A run of which an engine's keepers were told; dropped, they are told that it is over.
-struct ToldRun {
+/// A run that was reported to the keepers of its engine; its end is reported on drop.
+struct ReportedRun {
     keepers: Arc<KeeperClient>,
     end: RunEnd,
 }
 
-impl ToldRun {
-    /// Tells the keepers of an engine that a request is about to be sent there; nobody accounts for plain services.
+impl ReportedRun {
+    /// Reports to the keepers of an engine that a request is about to be sent there. Plain services have no accounts.
     fn begin(context: &EntryContext, request: &RoutedRequest, upstream: &Upstream) -> Option<Self> {
         let engine = request.service.engine.as_ref()?;
         let keepers = context.keepers.load_full()?;
@@ -157,7 +161,7 @@
     }
 }
 
-impl Drop for ToldRun {
+impl Drop for ReportedRun {
     fn drop(&mut self) {
         self.keepers.report_run_end(self.end);
     }
--- a/crates/samphiregrade-gateway/src/exchange/turn.rs
+++ b/crates/samphiregrade-gateway/src/exchange/turn.rs
@@ -1,4 +1,4 @@
-//! A turn of a program: its budget before it runs, its history in front of it, and its durability after it.
+//! A turn of a program: reserves its budget, prepends its history to the request, and makes the result durable.
 
 use std::time::Duration;
 
@@ -14,58 +14,60 @@
 use crate::model::{ProgramId, SessionId, TurnId, UpstreamRecord};
 use crate::upstream::ProgramProgress;
 
-/// How long budgets last where a route keeps no turns: a stopped program that comes back is still known.
+/// Retention of budgets on a route that retains no turns, so that a program which was interrupted and resumes is still
+/// known.
 const BUDGET_RETENTION: Duration = Duration::from_mins(1);
 
-/// What has to be done for a turn beside sending it.
+/// The budget and history handling of a turn.
 #[derive(Clone, Debug)]
 pub struct TurnPlan {
-    /// The program, within its organisation as are the turns: nobody else finds them.
+    /// Id of the program. Like the ids of turns, it is scoped to the organisation, so that no other organisation can
+    /// use it.
     pub program: ProgramId,
-    /// The turn.
+    /// Id of the turn.
     pub turn: TurnId,
-    /// The turn that it continues from.
+    /// Id of the turn that this one continues from.
     pub previous: Option<TurnId>,
-    /// Tokens that the program may make in all; `None` where it has no budget.
+    /// Tokens that the program may generate in total; `None` if it has no budget.
     pub budget: Option<u64>,
-    /// Most tokens that this turn may make.
-    pub most: u32,
-    /// Tokens that one event stands for.
+    /// Maximum number of tokens that this turn may generate.
+    pub max_tokens: u32,
+    /// Tokens per event of the response stream.
     pub tokens_per_event: u32,
-    /// Whether the system keeps the turn for later ones.
+    /// Whether the turn is retained for later turns.
     pub retained: bool,
-    /// How long.
-    pub keep: Duration,
-    /// What the client sent.
+    /// How long the turn and the budget are kept.
+    pub retention: Duration,
+    /// Request body of the client.
     pub input: Bytes,
-    /// The line of turns.
+    /// Session that the turn belongs to.
     pub session: SessionId,
-    /// Tokens of the whole prompt.
+    /// Tokens of the complete prompt.
     pub prompt_tokens: u32,
-    /// Time that the program has left, where its caller says so.
+    /// Time left until the deadline of the program, if the caller stated one.
     pub program_left: Option<Duration>,
 }
 
-/// A turn that may be dispatched.
+/// A turn that is ready for dispatch.
 #[derive(Clone, Debug)]
 pub struct PreparedTurn {
-    /// Body for the upstream.
+    /// Request body for the upstream.
     pub body: Bytes,
-    /// Where the turn before it ran, and how far its program has come, as far as is known.
-    pub standing: ProgramStanding,
+    /// State of the program, as far as known.
+    pub program_state: ProgramState,
 }
 
-/// What the keepers know of a program when one of its turns comes.
+/// State of a program when one of its turns arrives, as reported by the keepers.
 #[derive(Clone, Debug, Default)]
-pub struct ProgramStanding {
-    /// Where the line's turn before this one ran.
+pub struct ProgramState {
+    /// Where the previous turn of the session ran.
     pub last_place: Option<TurnPlace>,
-    /// How far the program has come.
+    /// Progress of the program.
     pub progress: ProgramProgress,
 }
 
 impl TurnPlan {
-    /// Returns the plan of a streaming request; `None` where it has neither budget nor history.
+    /// Returns the plan of a streaming request; `None` if it has neither a budget nor a history.
     #[must_use]
     pub fn of(request: &RoutedRequest) -> Option<Self> {
         let metadata = &request.metadata;
@@ -75,7 +77,7 @@
         }
         let program = metadata.program.as_ref().unwrap_or(&request.id);
         let scoped = |id: &SmolStr| request.caller.scoped_id(id);
-        let keep = if request.route.retention.is_zero() {
+        let retention = if request.route.retention.is_zero() {
             BUDGET_RETENTION
         } else {
             request.route.retention
@@ -89,13 +91,13 @@
                 .filter(|_| retained)
                 .map(scoped),
             budget: metadata.token_budget,
-            most: metadata.usage.map_or(0, |usage| usage.most_output),
+            max_tokens: metadata.usage.map_or(0, |usage| usage.most_output),
             tokens_per_event: request
                 .service
                 .engine
                 .map_or(1, |engine| engine.tokens_per_event),
             retained,
-            keep,
+            retention,
             input: request.body.clone(),
             session: metadata.session.clone().unwrap_or_default(),
             prompt_tokens: metadata.usage.map_or(0, |usage| usage.prompt),
@@ -103,11 +105,11 @@
         })
     }
 
-    /// Sets tokens aside and fetches the history; resolves to what is dispatched.
+    /// Reserves tokens and fetches the history; resolves to the turn to dispatch.
     ///
     /// # Errors
     ///
-    /// The reason for a refusal; the turn has not run then.
+    /// The reason for a refusal; the turn has not run.
     pub async fn prepare(
         &self,
         context: &EntryContext,
@@ -115,38 +117,41 @@
     ) -> Result<PreparedTurn, RefusalReason> {
         let (reserved, chain) = tokio::join!(self.reserve(context), self.chain(context));
         let chain = chain?;
-        let standing = reserved?;
+        let program_state = reserved?;
         let body = match chain {
             None => body.clone(),
             Some(chain) => {
-                let mut whole = BytesMut::with_capacity(chain.len() + body.len());
-                whole.put_slice(&chain);
-                whole.put_slice(body);
-                whole.freeze()
+                let mut combined = BytesMut::with_capacity(chain.len() + body.len());
+                combined.put_slice(&chain);
+                combined.put_slice(body);
+                combined.freeze()
             }
         };
-        Ok(PreparedTurn { body, standing })
+        Ok(PreparedTurn {
+            body,
+            program_state,
+        })
     }
 
-    /// Sets tokens aside; resolves to what is known of the program.
-    async fn reserve(&self, context: &EntryContext) -> Result<ProgramStanding, RefusalReason> {
+    /// Reserves tokens; resolves to the known state of the program.
+    async fn reserve(&self, context: &EntryContext) -> Result<ProgramState, RefusalReason> {
         let Some(budget) = self.budget else {
-            return Ok(ProgramStanding::default());
+            return Ok(ProgramState::default());
         };
         let keepers = context
             .keepers
             .load_full()
             .ok_or(RefusalReason::NoKeepers)?;
         let fact = self.reservation(None, None);
-        let reserving = keepers.reserve(&self.program, fact, budget, &self.turn, self.most);
+        let reserving = keepers.reserve(&self.program, fact, budget, &self.turn, self.max_tokens);
         match reserving.await {
-            Ok(ReserveOutcome::Reserved(ledger)) => Ok(ProgramStanding {
+            Ok(ReserveOutcome::Reserved(ledger)) => Ok(ProgramState {
                 last_place: ledger.last_place(Some(&self.session)).cloned(),
                 progress: ledger.progress(),
             }),
             Ok(ReserveOutcome::OverBudget(ledger)) => {
                 log::info!(
-                    "program {} is over its budget of {budget} with {} turns known",
+                    "program {} is over its budget of {budget} tokens; {} turns are known",
                     self.program,
                     ledger.reservations.len()
                 );
@@ -162,7 +167,7 @@
         let Some(previous) = &self.previous else {
             return Ok(None);
         };
-        if let Some(chain) = context.turns.find(previous) {
+        if let Some(chain) = context.turns.get(previous) {
             return Ok(Some(chain));
         }
         let keepers = context
@@ -181,16 +186,16 @@
             program: self.program.clone(),
             reservation: Reservation {
                 turn: self.turn.clone(),
-                most: self.most,
+                most: self.max_tokens,
                 spent,
                 place,
                 program_left: self.program_left,
             },
-            keep: self.keep,
+            keep: self.retention,
         }
     }
 
-    /// Describes where the turn ran.
+    /// Returns where the turn ran, with the tokens that the upstream then has cached.
     fn place(&self, upstream: Option<&UpstreamRecord>, spent: u32) -> Option<TurnPlace> {
         let upstream = upstream?;
         Some(TurnPlace {
@@ -201,7 +206,7 @@
         })
     }
 
-    /// Tells the keepers what the turn took, and where it ran.
+    /// Reports to the keepers how many tokens the turn used, and where it ran.
     pub fn settle(&self, context: &EntryContext, spent: u32, upstream: Option<&UpstreamRecord>) {
         if self.budget.is_none() {
             return;
@@ -212,11 +217,11 @@
         }
     }
 
-    /// Makes the whole turn durable; only then its answer may end.
+    /// Makes the complete turn durable; its response must not end before.
     ///
     /// # Errors
     ///
-    /// [`FactFailure`] where it is not known to be durable.
+    /// [`FactFailure`] if the turn is not known to be durable.
     pub async fn commit(
         &self,
         context: &EntryContext,
@@ -241,7 +246,7 @@
             output,
             spent,
             place: self.place(Some(upstream), spent),
-            keep: self.keep,
+            keep: self.retention,
         }
     }
 }
--- a/crates/samphiregrade-gateway/src/exchange/turn_cache.rs
+++ b/crates/samphiregrade-gateway/src/exchange/turn_cache.rs
@@ -1,4 +1,4 @@
-//! Chains of turns that ended at this instance: what the next turn of the line needs.
+//! Cache of the chains of turns that this instance completed: the history that the next turn of a session needs.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Mutex, PoisonError};
@@ -14,14 +14,14 @@
     bytes: usize,
 }
 
-/// A bounded cache of whole chains; the oldest ones are dropped first.
+/// A bounded cache of complete chains that evicts the oldest first.
 pub struct TurnCache {
     state: Mutex<CacheState>,
     limit: usize,
 }
 
 impl TurnCache {
-    /// Makes a cache of so many bytes.
+    /// Creates a cache of at most `limit` bytes.
     #[must_use]
     pub fn new(limit: usize) -> Self {
         Self {
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Keeps a chain.
-    pub fn keep(&self, turn: &TurnId, chain: Bytes) {
+    /// Stores the chain that ends with a turn, and evicts the oldest chains beyond the limit.
+    pub fn insert(&self, turn: &TurnId, chain: Bytes) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.bytes += chain.len();
         state.order.push_back(turn.clone());
@@ -40,14 +40,14 @@
             let Some(oldest) = state.order.pop_front() else {
                 return;
             };
-            let dropped = state.chains.remove(&oldest).map_or(0, |chain| chain.len());
-            state.bytes -= dropped;
+            let evicted = state.chains.remove(&oldest).map_or(0, |chain| chain.len());
+            state.bytes -= evicted;
         }
     }
 
-    /// Returns a chain.
+    /// Returns the chain that ends with a turn, if it is cached.
     #[must_use]
-    pub fn find(&self, turn: &TurnId) -> Option<Bytes> {
+    pub fn get(&self, turn: &TurnId) -> Option<Bytes> {
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.chains.get(turn).cloned()
     }
--- a/crates/samphiregrade-gateway/src/exchange/waiting.rs
+++ b/crates/samphiregrade-gateway/src/exchange/waiting.rs
@@ -1,7 +1,7 @@
-//! Taking the connections that wait in the system's queue when a listener is about to close.
+//! Drains the accept queue of a listener that is about to close.
 //!
-//! For listeners that are accepted from here; one that an event loop accepts from is closed by
-//! `samphiregrade_http::ListenerCloser`.
+//! Used for listeners whose connections this crate accepts; `samphiregrade_http::ListenerCloser` closes a listener that
+//! an event loop accepts from.
 
 use std::io;
 
@@ -9,35 +9,38 @@
 
 use crate::accept::ACCEPT_PAUSE;
 
-/// Failures after which no more is tried: 0.2 s in all, in which idle connections have long ended, and which a short
-/// grace period still holds.
-const MOST_FAILURES: usize = 10;
+/// Number of failures after which draining stops. The pauses add up to 0.2 s: by then idle connections have closed and
+/// freed their descriptors, and the time fits into a short grace period.
+const MAX_FAILURES: usize = 10;
 
-/// Accepts without waiting until the queue is empty.
+/// Accepts connections without blocking until the queue is empty.
 ///
-/// Closing the listener resets what is left in the queue, though its clients may have sent their requests: one
-/// connection that is gone again, or a moment without descriptors, must not cost all that wait behind it.
-pub async fn drain_backlog<Accept, Connection, Take>(mut accept: Accept, mut take: Take)
+/// Closing the listener resets the connections that are left in the queue, although their clients may already have sent
+/// requests. So an aborted connection, or a temporary lack of file descriptors, must not end the draining.
+pub async fn drain_backlog<Accept, Connection, Serve>(mut accept: Accept, mut serve: Serve)
 where
     Accept: FnMut() -> io::Result<Connection>,
-    Take: FnMut(Connection),
+    Serve: FnMut(Connection),
 {
     let mut failures = 0;
-    let mut taken = 0;
-    // No more than the queue holds: clients that come faster than they are accepted must not keep the listener open.
-    while failures < MOST_FAILURES && taken < ACCEPT_QUEUE {
+    let mut accepted = 0;
+    // At most the capacity of the queue: clients that connect faster than they are accepted must not keep the listener
+    // open.
+    while failures < MAX_FAILURES && accepted < ACCEPT_QUEUE {
         match accept() {
             Ok(connection) => {
-                take(connection);
-                taken += 1;
+                serve(connection);
+                accepted += 1;
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
             Err(error) => {
-                log::warn!("a connection that waited was not accepted: {error}");
+                log::warn!("a connection in the accept queue could not be accepted: {error}");
                 failures += 1;
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
     }
-    log::error!("connections that waited are given up after {taken} taken and {failures} failures");
+    log::error!(
+        "the accept queue was not drained: {accepted} connections accepted, {failures} failures"
+    );
 }
--- a/crates/samphiregrade-gateway/src/lib.rs
+++ b/crates/samphiregrade-gateway/src/lib.rs
@@ -1,20 +1,20 @@
-//! The core that carries ordinary HTTP requests to upstreams, and keeps what agent programs need to last.
+//! Gateway core: relays HTTP requests to upstreams, and stores the turns and budgets of agent programs durably.
 //!
-//! A tour along a request's way:
+//! Modules, in the order in which a request uses them:
 //!
-//! * [`exchange`] takes a client's request, decides, dispatches it and relays the answer;
-//! * [`routing`] finds its route and service in one snapshot of the configuration;
-//! * [`access`] tells which organisation calls, and whether what is known of keys is fresh enough;
-//! * [`limits`] keeps organisations within their request limits, over all instances;
-//! * [`upstream`] knows who serves what, how loaded, with what cached, and chooses;
-//! * [`fact`] keeps turns and budgets on the instances with disks, by majorities, and reaches these, through other
-//!   entries where need be;
-//! * [`store`] follows the platform's key-value service, and keeps what keepers pass on of it;
-//! * [`dialect`] is what an adapter gives: names and formats, nothing that decides;
-//! * [`role`] puts these together as entry and keeper instances;
-//! * [`link`] and [`identity`] connect instances; [`observe`] tells what they do.
+//! * [`exchange`] reads a client's request, admits and dispatches it, and relays the response;
+//! * [`routing`] looks up the route and the service in one snapshot of the configuration;
+//! * [`access`] identifies the calling organisation, and checks whether the known keys are recent enough;
+//! * [`limits`] enforces the request limits of organisations across all instances;
+//! * [`upstream`] tracks the services, loads and caches of the upstreams, and chooses one;
+//! * [`fact`] replicates turns and budgets to a majority of the instances with disks, and reaches those through other
+//!   entries if necessary;
+//! * [`store`] follows the platform's key-value service, and stores what keepers forward of it;
+//! * [`dialect`] is the interface of a platform adapter: names and formats, without any decisions;
+//! * [`role`] assembles these modules into entry and keeper instances;
+//! * [`link`] and [`identity`] connect instances; [`observe`] provides logs and metrics.
 //!
-//! Decisions are pure and can be tried without sockets:
+//! Decisions are pure functions, which can be tested without sockets:
 //!
 //! ```
 //! use samphiregrade_gateway::upstream::{Candidate, WorkEstimate, choose_upstream};
--- a/crates/samphiregrade-gateway/src/mix.rs
+++ b/crates/samphiregrade-gateway/src/mix.rs
@@ -1,6 +1,7 @@
-//! A cheap hash of two numbers, the same on every instance: for orders that all draw alike without a word between them.
+//! A cheap hash of two numbers that is the same on every instance, so that all instances compute the same order without
+//! communication.
 
-/// Mixes two numbers (the finisher of splitmix64, public domain).
+/// Hashes two numbers with the finalizer of splitmix64 (public domain).
 pub(crate) fn hash_pair(left: u64, right: u64) -> u64 {
     let mut value = left ^ right.rotate_left(32);
     value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/samphiregrade-gateway/src/routing.rs
+++ b/crates/samphiregrade-gateway/src/routing.rs
@@ -1,4 +1,4 @@
-//! Which route and service a request belongs to, from one snapshot of the configuration.
+//! Routing of requests to services, based on one snapshot of the configuration.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,23 +14,23 @@
 
 use crate::upstream::UrgencyClass;
 
-/// One version of the configuration, made ready for look-ups.
+/// One version of the configuration, indexed for lookups.
 #[derive(Debug, Default)]
 pub struct RouteTable {
-    /// The version.
+    /// Version of the configuration.
     pub version: ConfigVersion,
-    /// Limits towards clients.
+    /// Limits on client connections and requests.
     pub limits: ClientLimits,
     hosts: HashMap<SmolStr, Vec<Arc<RouteRecord>>>,
     services: HashMap<ServiceName, Arc<ServiceRecord>>,
-    /// Keys of callers; `None` where they need none.
+    /// Keys of callers; `None` if callers need none.
     keys: Option<KeyTable>,
-    /// Priorities that requests to a service may have, the most urgent first.
+    /// Priorities that requests to a service may have, most urgent first.
     priorities: HashMap<ServiceName, Vec<u8>>,
 }
 
 impl RouteTable {
-    /// Makes a configuration ready.
+    /// Indexes a configuration.
     #[must_use]
     pub fn new(config: RoutingConfig) -> Self {
         let organisations = config.organisations.as_deref().unwrap_or_default();
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Returns the route of a host and path: the one with the longest prefix.
+    /// Returns the route of a host and path: the one with the longest matching prefix.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<RouteRecord>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
@@ -71,13 +71,13 @@
             .find(|route| path.starts_with(route.path_prefix.as_str()))
     }
 
-    /// Returns the keys of callers; `None` where they need none.
+    /// Returns the keys of callers; `None` if callers need none.
     #[must_use]
     pub fn keys(&self) -> Option<&KeyTable> {
         self.keys.as_ref()
     }
 
-    /// Returns who sends a request to a route; `None` where the route asks for a key and no such key is known.
+    /// Returns the identity of the sender of a request; `None` if the route requires a key and the key is unknown.
     #[must_use]
     pub fn identify(
         &self,
@@ -92,7 +92,7 @@
         known.or_else(|| is_open.then_some(CallerIdentity::Anonymous))
     }
 
-    /// Returns the place of a priority among those of all routes to a service.
+    /// Returns the position of a priority among all priorities that requests to a service may have.
     #[must_use]
     pub fn urgency(&self, service: &str, priority: u8) -> UrgencyClass {
         let Some(known) = self.priorities.get(service) else {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Returns the longest time that a route gives a request.
+    /// Returns the longest timeout of all routes.
     #[must_use]
     pub fn longest_timeout(&self) -> Duration {
         let routes = self.hosts.values().flatten();
@@ -114,14 +114,15 @@
         timeouts.max().unwrap_or_default()
     }
 
-    /// Returns a service.
+    /// Returns the service of a name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Arc<ServiceRecord>> {
         self.services.get(name)
     }
 }
 
-/// Returns the priorities of all routes to each service, and of the organisations whose own one goes before.
+/// Returns, for each service, the priorities of its routes and those of organisations, which override a route's
+/// priority.
 fn priorities_by_service(
     routes: &[RouteRecord],
     organisations: &[OrganisationRecord],
@@ -145,7 +146,7 @@
     priorities
 }
 
-/// Returns the service that a request of the route goes to; requests of one key go to one service.
+/// Returns the service for a request of the route, chosen by weight; requests with the same key go to the same service.
 #[must_use]
 pub fn service_for<'route>(route: &'route RouteRecord, key: &str) -> Option<&'route ServiceName> {
     let total: u32 = route.shares.iter().map(|share| share.weight).sum();
--- a/crates/samphiregrade-gateway/tests/suite/hot_organisation.rs
+++ b/crates/samphiregrade-gateway/tests/suite/hot_organisation.rs
@@ -1,6 +1,7 @@
-//! An organisation far beyond its limit costs the others nothing.
+//! An organisation far over its limit must not reduce the share of requests served to other organisations.
 //!
-//! Pattern: 85 organisations with one home; one of them sends eight times its usual, in programs of another size.
+//! Scenario: 85 organisations have the same home. One of them starts programs eight times as often as usual, in one
+//! test with larger programs.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -16,37 +17,37 @@
     standalone_period: Duration::from_secs(30),
 };
 const STEP: Duration = Duration::from_millis(50);
-const PLAYED: Duration = Duration::from_secs(40);
+const DURATION: Duration = Duration::from_secs(40);
 const ORGANISATIONS: usize = 85;
 const ENTRIES: usize = 6;
 
 /// Requests that an organisation may make in a window.
 const LIMIT: u32 = 100;
 
-/// Requests of a usual program; one of each organisation begins each second, so that half of the limit is used.
+/// Requests of a usual program. Each organisation starts one program per second, which uses half of its limit.
 const PROGRAM_SIZE: usize = 10;
 
-/// How much more often programs of the hot organisation begin.
+/// Factor by which the hot organisation starts programs more often.
 const HOT_FACTOR: usize = 8;
 
-/// Share of what is served without a hot organisation that has to be served beside one.
+/// Minimum ratio of an organisation's served share with a hot organisation to its served share without one.
 const LEAST_SHARE: f64 = 0.98;
 
 const HOT: usize = 0;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ServedCount {
-    asked: usize,
+    requests: usize,
     served: usize,
 }
 
 struct Deployment {
     now: Duration,
     ledger: LimitLedger,
-    /// By entry and organisation.
+    /// Allowances by entry and organisation.
     allowances: Vec<Vec<OrganisationAllowance>>,
     counts: Vec<ServedCount>,
-    /// Organisations with the requests that are left of their programs.
+    /// Running programs: the organisation, and the number of remaining requests.
     programs: VecDeque<(usize, usize)>,
 }
 
@@ -62,10 +63,10 @@
         }
     }
 
-    /// Plays one request; returns whether it was served.
+    /// Simulates one request; returns whether it was served.
     fn request(&mut self, organisation: usize, begins: bool) -> bool {
-        self.counts[organisation].asked += 1;
-        let entry = (self.counts[organisation].asked + organisation) % ENTRIES;
+        self.counts[organisation].requests += 1;
+        let entry = (self.counts[organisation].requests + organisation) % ENTRIES;
         let now = BootTime::since_start(self.now);
         let allowance = &mut self.allowances[entry][organisation];
         let mut passes = allowance.take(begins, now, WINDOW);
@@ -91,14 +92,14 @@
         passes
     }
 
-    fn begin(&mut self, organisation: usize, size: usize) {
+    fn begin_program(&mut self, organisation: usize, size: usize) {
         if self.request(organisation, true) {
             self.programs.push_back((organisation, size - 1));
         }
     }
 
-    /// Plays one request of each program that goes on.
-    fn go_on(&mut self) {
+    /// Simulates the next request of each running program.
+    fn continue_programs(&mut self) {
         for _ in 0..self.programs.len() {
             let Some((organisation, left)) = self.programs.pop_front() else {
                 return;
@@ -110,39 +111,42 @@
     }
 }
 
-/// Plays all organisations; returns what each was served.
-fn play(hot_factor: usize, hot_size: usize) -> Vec<ServedCount> {
+/// Simulates all organisations; returns the served requests of each.
+fn simulate(hot_factor: usize, hot_size: usize) -> Vec<ServedCount> {
     let mut deployment = Deployment::new();
     let steps_per_second = 20;
-    let steps = usize::try_from(PLAYED.as_millis() / STEP.as_millis()).expect("a small number");
+    let steps = usize::try_from(DURATION.as_millis() / STEP.as_millis()).expect("a small number");
     for step in 0..steps {
         for organisation in 0..ORGANISATIONS {
             if (step + organisation) % steps_per_second == 0 {
-                deployment.begin(organisation, PROGRAM_SIZE);
+                deployment.begin_program(organisation, PROGRAM_SIZE);
             }
         }
         for extra in 1..hot_factor {
             if (step + extra * 2) % steps_per_second == 0 {
-                deployment.begin(HOT, hot_size);
+                deployment.begin_program(HOT, hot_size);
             }
         }
-        deployment.go_on();
+        deployment.continue_programs();
         deployment.now += STEP;
     }
     deployment.counts
 }
 
 fn share(count: ServedCount) -> f64 {
-    // Counts are small.
+    // The counts are small enough to be exact in an `f64`.
     #[allow(clippy::cast_precision_loss)]
-    let share = count.served as f64 / count.asked as f64;
+    let share = count.served as f64 / count.requests as f64;
     share
 }
 
-fn expect_others_served(hot_size: usize) {
-    let usual = play(1, PROGRAM_SIZE);
-    let beside = play(HOT_FACTOR, hot_size);
-    assert!(share(beside[HOT]) < 0.9, "it is beyond its limit");
+fn assert_others_unaffected(hot_size: usize) {
+    let usual = simulate(1, PROGRAM_SIZE);
+    let beside = simulate(HOT_FACTOR, hot_size);
+    assert!(
+        share(beside[HOT]) < 0.9,
+        "the hot organisation should be over its limit"
+    );
     for organisation in 0..ORGANISATIONS {
         if organisation == HOT {
             continue;
@@ -150,17 +154,17 @@
         let (before, after) = (share(usual[organisation]), share(beside[organisation]));
         assert!(
             after >= before * LEAST_SHARE,
-            "organisation {organisation} is served {after:.3} in place of {before:.3}"
+            "organisation {organisation}: served share {after:.3} instead of {before:.3}"
         );
     }
 }
 
 #[test]
-fn a_hot_organisation_costs_others_nothing() {
-    expect_others_served(PROGRAM_SIZE);
+fn hot_organisation_does_not_affect_others() {
+    assert_others_unaffected(PROGRAM_SIZE);
 }
 
 #[test]
-fn a_hot_organisation_with_long_programs_costs_others_nothing() {
-    expect_others_served(12 * PROGRAM_SIZE);
+fn hot_organisation_with_long_programs_does_not_affect_others() {
+    assert_others_unaffected(12 * PROGRAM_SIZE);
 }
--- a/crates/samphiregrade-gateway/tests/suite/main.rs
+++ b/crates/samphiregrade-gateway/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! The gateway's decisions and its parts that last, without the platform.
+//! Tests of the gateway's decisions and durable state, without a platform.
 
 mod access;
 mod balance;
--- a/crates/samphiregrade-gateway/tests/suite/routing.rs
+++ b/crates/samphiregrade-gateway/tests/suite/routing.rs
@@ -1,4 +1,4 @@
-//! Routes by host and longest prefix, and services by share.
+//! Route lookup by host and longest prefix, and service selection by weight.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn longest_prefix_of_the_host_wins() {
+fn longest_matching_prefix_of_the_host_is_chosen() {
     let table = RouteTable::new(RoutingConfig {
         routes: vec![
             route("short", "one.example", "/a/"),
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn shares_follow_weights_and_keep_to_their_key() {
+fn services_are_chosen_by_weight_and_stay_the_same_for_a_key() {
     let route = route("r", "h", "/");
     let mut counts: HashMap<ServiceName, u32> = HashMap::new();
     for number in 0..2000 {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn streams_repeat_only_where_they_may_be_resumed() {
+fn streams_may_be_repeated_only_if_resumable() {
     let mut stream = route("s", "h", "/");
     stream.kind = RequestKind::Streaming;
     assert!(!stream.may_repeat());
