--- a/crates/samphiregrade-gateway/src/access/freshness.rs
+++ b/crates/samphiregrade-gateway/src/access/freshness.rs
@@ -1,4 +1,4 @@
-//! How old what an instance knows of keys may be, and how old it is.
+//! Age of an instance's known keys, and the bounds for it.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
@@ -6,67 +6,72 @@
 use super::clock::BootTime;
 use crate::dialect::StoreRevision;
 
-/// Part of the bound that is left unused: for clocks that don't run at quite the same speed.
+/// Share of the bound that is left unused, because clocks don't run at exactly the same speed.
 const MARGIN_SHARE: f64 = 0.02;
 
-/// Part of the bound after which a keeper reads the configuration again, so that what it proves stays well within it.
+/// Share of the bound after which a keeper reads the configuration again, so that the age of its proofs stays well
+/// within the bound.
 const READ_SHARE: f64 = 0.3;
 
-/// Part of the bound after which an entry asks a keeper again. With the keeper's own part what is proved is at most
-/// little more than four tenths of the bound old, and a cut costs nothing before nearly six have passed.
-const ASK_SHARE: f64 = 0.12;
+/// Share of the bound after which an entry requests a proof from a keeper again. Together with the keeper's own share,
+/// the age of a proof is at most a little over 0.4 of the bound, and a network partition has no effect before nearly
+/// 0.6 of the bound has passed.
+const PROOF_REQUEST_SHARE: f64 = 0.12;
 
-/// Age up to which a key that isn't known is called unknown where withdrawn keys may still be served: a configuration
-/// is in force within seconds.
+/// Age up to which an unknown key is rejected as unknown if withdrawn keys may still be served: a configuration takes
+/// effect within seconds.
 const LENIENT_AGE: Duration = Duration::from_secs(35);
 
-/// Changes that one watch brings at most for its answer to be taken as all that there were.
-const WHOLE_CHANGES: usize = 48;
+/// Maximum number of changes in a watch's response for which the response counts as complete.
+const COMPLETE_CHANGES: usize = 48;
 
-/// How long a withdrawn key may be served.
+/// Rule for how long a withdrawn key may be served.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FreshnessRule {
-    /// Longest time after the withdrawal; `None` where keys that are known last may always be served.
+    /// Longest time after the withdrawal; `None` if the last known keys may always be served.
     pub strict: Option<Duration>,
 }
 
 impl FreshnessRule {
-    /// Returns the age up to which what is known may be used; `None` without a bound.
+    /// Returns the age up to which known keys may be used; `None` without a bound.
     #[must_use]
-    pub fn longest_age(&self) -> Option<Duration> {
+    pub fn max_age(&self) -> Option<Duration> {
         self.strict.map(|bound| bound.mul_f64(1.0 - MARGIN_SHARE))
     }
 
-    /// Returns the time after which the service is to be asked again for a proof.
+    /// Returns the interval at which a keeper requests a proof from the key-value service.
     #[must_use]
     pub fn read_interval(&self) -> Duration {
         self.strict.unwrap_or(LENIENT_AGE).mul_f64(READ_SHARE)
     }
 
-    /// Returns the time after which a keeper is to be asked again for one.
+    /// Returns the interval at which an entry requests a proof from a keeper.
     #[must_use]
     pub fn ask_interval(&self) -> Duration {
-        self.strict.unwrap_or(LENIENT_AGE).mul_f64(ASK_SHARE)
+        self.strict
+            .unwrap_or(LENIENT_AGE)
+            .mul_f64(PROOF_REQUEST_SHARE)
     }
 }
 
-/// The newest moment up to which this instance is known to know every configuration.
+/// The latest time up to which this instance is known to have every configuration.
 ///
-/// The one who takes configurations stores each before the moment is raised, and a request reads the moment before it
-/// reads the configuration; so what the request reads is at least as new as the moment says.
+/// The task that applies configurations stores each one before it advances the time, and a request reads the time
+/// before it reads the configuration. The configuration that the request reads is therefore at least as new as the time
+/// says.
 #[derive(Debug)]
 pub struct KeyFreshness {
     rule: FreshnessRule,
-    /// Nanoseconds since the machine's start; 0 before anything is proved.
+    /// Nanoseconds since the machine's start; 0 before the first proof.
     proved: AtomicU64,
-    /// Whether the newest configuration can't be read: what is known is an older one then.
+    /// Whether the newest configuration can't be decoded, so that the known one is older.
     unreadable: AtomicBool,
-    /// Revision of the newest configuration that has been taken.
+    /// Revision of the newest configuration that was applied.
     taken: AtomicU64,
 }
 
 impl KeyFreshness {
-    /// Makes the state of an instance to which nothing is proved yet.
+    /// Returns the state of an instance without any proof.
     #[must_use]
     pub fn new(rule: FreshnessRule) -> Self {
         Self {
@@ -83,7 +88,7 @@
         self.rule
     }
 
-    /// Notes that everything up to a moment is known.
+    /// Records that every configuration up to a time is known.
     pub fn prove(&self, moment: BootTime) {
         if self.unreadable.load(Ordering::Acquire) {
             return;
@@ -92,7 +97,8 @@
         self.proved.fetch_max(nanos, Ordering::AcqRel);
     }
 
-    /// Notes that the newest configuration at a moment was the one of a revision; returns whether that proves anything.
+    /// Records that the newest configuration at a time had a revision; returns whether this proves that the known one
+    /// is current.
     pub fn prove_revision(&self, revision: StoreRevision, moment: BootTime) -> bool {
         let known = revision <= self.taken.load(Ordering::Acquire);
         if known {
@@ -101,17 +107,17 @@
         known
     }
 
-    /// Notes that the configuration of a revision has been taken.
+    /// Records that the configuration with a revision was applied.
     pub fn take_revision(&self, revision: StoreRevision) {
         self.taken.fetch_max(revision, Ordering::AcqRel);
     }
 
-    /// Notes whether the newest configuration can be read.
+    /// Sets whether the newest configuration can be decoded.
     pub fn set_readable(&self, readable: bool) {
         self.unreadable.store(!readable, Ordering::Release);
     }
 
-    /// Returns how old what is known may be; `None` before anything is proved.
+    /// Returns the largest possible age of the known configuration; `None` before the first proof.
     #[must_use]
     pub fn age(&self, now: BootTime) -> Option<Duration> {
         match self.proved.load(Ordering::Acquire) {
@@ -120,27 +126,28 @@
         }
     }
 
-    /// Returns whether keys that are known may be served.
+    /// Returns whether known keys may be served.
     #[must_use]
     pub fn permits_known_keys(&self, now: BootTime) -> bool {
-        let Some(longest) = self.rule.longest_age() else {
+        let Some(max_age) = self.rule.max_age() else {
             return true;
         };
-        self.age(now).is_some_and(|age| age <= longest)
+        self.age(now).is_some_and(|age| age <= max_age)
     }
 
-    /// Returns whether a key that is not known may be called unknown: it may have come with a newer configuration.
+    /// Returns whether an unknown key may be rejected as unknown: it may have been added by a newer configuration.
     #[must_use]
     pub fn permits_denial(&self, now: BootTime) -> bool {
-        let longest = self.rule.longest_age().unwrap_or(LENIENT_AGE);
-        self.age(now).is_some_and(|age| age <= longest)
+        let max_age = self.rule.max_age().unwrap_or(LENIENT_AGE);
+        self.age(now).is_some_and(|age| age <= max_age)
     }
 }
 
-/// Returns the moment up to which the answer of a watch proves that all changes are known; `None` where it proves nothing.
+/// Returns the time up to which a watch's response proves that all changes are known; `None` if it proves nothing.
 ///
-/// The age counts from the sending. A watch that ends without changes after the time for which it was to be held proves
-/// as much as that time more; one that ends sooner was cut short, and one with many changes may not have brought all.
+/// The age counts from the sending of the watch. A watch that ends without changes after `held`, the time for which the
+/// service was to hold it, also proves that time. A watch that ends sooner was interrupted, and one with many changes
+/// may not have returned all of them.
 #[must_use]
 pub fn proof_of_watch(
     sent: BootTime,
@@ -148,7 +155,7 @@
     held: Duration,
     changes: usize,
 ) -> Option<BootTime> {
-    if changes > WHOLE_CHANGES {
+    if changes > COMPLETE_CHANGES {
         return None;
     }
     if changes == 0 && ended >= sent.after(held) {
--- a/crates/samphiregrade-gateway/src/access/key_table.rs
+++ b/crates/samphiregrade-gateway/src/access/key_table.rs
@@ -1,4 +1,4 @@
-//! Which organisation a key belongs to.
+//! Table of the organisations that keys belong to.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,32 +23,32 @@
     second: &'line str,
 }
 
-/// An organisation as requests need it.
+/// An organisation, as needed by requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Organisation {
-    /// Its name.
+    /// Name of the organisation.
     pub name: OrganisationName,
-    /// Hash of its name.
+    /// Hash of the name.
     pub tag: OrganisationTag,
-    /// Rank of its requests; `None` where the route's counts.
+    /// Priority of the organisation's requests; `None` if the route's priority applies.
     pub priority: Option<u8>,
-    /// Its limit.
+    /// Request limit; `None` if the organisation has none.
     pub limit: Option<RequestLimit>,
 }
 
-/// Who calls, as far as a configuration knows.
+/// The identity of a caller, according to a configuration.
 #[derive(Clone, Debug)]
 pub enum CallerIdentity {
-    /// The configuration names no organisations.
+    /// The configuration has no organisations, so no key is needed.
     KeyNotRequired,
-    /// The route is open to all, and no key of the configuration was sent.
+    /// The route is open to all, and the request has no known key.
     Anonymous,
     /// An organisation.
     Known(Arc<Organisation>),
 }
 
 impl CallerIdentity {
-    /// Returns the organisation, where there is one.
+    /// Returns the organisation, if there is one.
     #[must_use]
     pub fn organisation(&self) -> Option<&Arc<Organisation>> {
         match self {
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Returns an id as it is known beyond this request: of the caller's organisation, so that no other one finds it.
+    /// Returns an id that is qualified by the caller's organisation, so that callers of other organisations can't refer
+    /// to it.
     #[must_use]
     pub fn scoped_id(&self, id: &str) -> smol_str::SmolStr {
         match self {
@@ -74,13 +75,13 @@
 /// The keys of one configuration.
 #[derive(Debug, Default)]
 pub struct KeyTable {
-    /// `None` for a key that two organisations hold: it tells nobody's requests apart.
+    /// Organisations by key; `None` for a key that several organisations have, since it does not identify any of them.
     holders: HashMap<CallerKey, Option<Arc<Organisation>>>,
     organisations: usize,
 }
 
 impl KeyTable {
-    /// Makes the organisations of a configuration ready.
+    /// Returns the table for a configuration's organisations.
     #[must_use]
     pub fn new(records: Vec<OrganisationRecord>) -> Self {
         let mut table = Self::default();
@@ -91,10 +92,10 @@
     }
 
     fn add(&mut self, record: OrganisationRecord) {
-        if !is_header_text(&record.name) {
+        if !is_valid_in_header(&record.name) {
             let line = BadOrganisationLine {
                 organisation: &record.name,
-                reason: "its name can't stand in a header; its keys are unknown",
+                reason: "the name is not valid in a header; the keys are ignored",
             };
             Logbook::global().record("organisation-bad", &line);
             return;
@@ -121,19 +122,19 @@
         }
     }
 
-    /// Returns how many organisations there are.
+    /// Returns the number of organisations.
     #[must_use]
     pub fn organisation_count(&self) -> usize {
         self.organisations
     }
 
-    /// Returns how many keys there are.
+    /// Returns the number of keys.
     #[must_use]
     pub fn key_count(&self) -> usize {
         self.holders.len()
     }
 
-    /// Returns the identity that a credential stands for; `None` where the configuration knows no such key.
+    /// Returns the identity for a credential; `None` if the configuration has no such key.
     #[must_use]
     pub fn identify(&self, credential: &CallerCredential) -> Option<CallerIdentity> {
         let CallerCredential::Key(key) = credential else {
@@ -144,7 +145,7 @@
     }
 }
 
-/// Returns whether a name can be told to upstreams as it is.
-fn is_header_text(name: &str) -> bool {
+/// Returns whether a name can be sent to upstreams in a header without encoding.
+fn is_valid_in_header(name: &str) -> bool {
     !name.is_empty() && name.bytes().all(|byte| byte.is_ascii_graphic())
 }
--- a/crates/samphiregrade-gateway/src/access/mod.rs
+++ b/crates/samphiregrade-gateway/src/access/mod.rs
@@ -1,7 +1,7 @@
-//! Who calls: keys and organisations, and how fresh what is known of them is.
+//! Identification of callers by keys and organisations, and the freshness of the known keys.
 //!
-//! Answers the pattern of a key that is withdrawn while some instances are cut off, frozen or behind a silent watch:
-//! what they know is used only for as long as it is proved to be no older than a bound.
+//! Handles a key that is withdrawn while some instances are cut off, suspended, or connected to an unresponsive watch:
+//! known keys are used only as long as they are verified to be no older than a bound.
 
 mod clock;
 mod freshness;
--- a/crates/samphiregrade-gateway/src/limits/allowance.rs
+++ b/crates/samphiregrade-gateway/src/limits/allowance.rs
@@ -1,4 +1,4 @@
-//! An entry's side: what it holds of one organisation's limit.
+//! Entry side of the request limits: the tokens that an entry holds of one organisation's limit.
 
 use std::time::Duration;
 
@@ -10,183 +10,189 @@
 use crate::access::BootTime;
 use crate::model::OrganisationTag;
 
-/// Requests of an organisation that was hardly served here which are let through without a home.
-const FIRST_USES: u32 = 1;
+/// Standalone requests that are allowed for an organisation with nearly no recent use at this entry.
+const MIN_STANDALONE: u32 = 1;
 
-/// Longest time for which a refusal stands for the requests that follow: an organisation far over its limit must not
-/// cost a question each.
-const LONGEST_REFUSAL: Duration = Duration::from_millis(150);
+/// Longest time for which a refusal also applies to the requests that follow: an organisation far over its limit must
+/// not cause a query for each request.
+const MAX_REFUSAL: Duration = Duration::from_millis(150);
 
-/// Most tokens that are asked for in advance.
-const MOST_SPARE: u32 = 8;
+/// Maximum number of tokens that are requested in advance.
+const MAX_SPARE: u32 = 8;
 
-/// Part of its use in a window that an entry holds in advance.
+/// Divisor that yields, from an entry's use in a window, the number of tokens to hold in advance.
 const SPARE_DIVISOR: u32 = 8;
 
-/// Who asks.
+/// The entry that requests tokens, and how it does so.
 #[derive(Clone, Copy, Debug)]
 pub struct EntrySource {
     /// The instance.
     pub instance: InstanceTag,
-    /// Its start.
+    /// The start of the instance.
     pub life: EntryIncarnation,
-    /// How requests are counted.
+    /// Rule by which requests are counted.
     pub rule: LimitRule,
-    /// Whether tokens are asked for in advance.
+    /// Whether tokens are requested in advance.
     pub prefetch: bool,
 }
 
-/// What an entry holds of one organisation's limit.
+/// An entry's allowance from one organisation's limit.
 #[derive(Debug, Default)]
 pub struct OrganisationAllowance {
     used: u64,
-    begun: u64,
+    programs_started: u64,
     granted: u64,
-    lapses: BootTime,
+    valid_until: BootTime,
     sequence: u64,
     recent: RecentUse,
-    /// What a home keeps for this entry.
-    steady: u32,
-    answered: Option<BootTime>,
-    /// Requests let through since then without a token, and since the start.
-    alone: u32,
-    all_alone: u64,
-    near: bool,
+    /// Requests in a window that the home reserves for this entry.
+    reserved: u32,
+    last_reply: Option<BootTime>,
+    /// Standalone requests since the home's last reply, and since the entry's start.
+    standalone_since_reply: u32,
+    standalone_total: u64,
+    near_limit: bool,
     /// Requests that wait for a token.
     waiting: u32,
-    /// Whether tokens are being asked for in advance.
-    asking_ahead: bool,
-    /// Until when requests that begin a program, and others, are refused.
+    /// Whether a prefetch or a report is in progress.
+    prefetching: bool,
+    /// Times until which requests that start a program, and other requests, are refused.
     refused_until: RefusedTimes,
-    /// What the home counted then.
-    use_then: WindowUse,
+    /// The home's counts at the last refusal.
+    use_at_refusal: WindowUse,
 }
 
 #[derive(Debug, Default)]
 struct RefusedTimes {
-    beginning: BootTime,
+    program_starts: BootTime,
     others: BootTime,
 }
 
 impl OrganisationAllowance {
-    /// Takes a token that is at hand, for a request that begins a program or for another one; returns whether there was
-    /// one.
+    /// Consumes a prefetched token for a request; returns whether one was available. `begins` is set if the request
+    /// starts a program.
     pub fn take(&mut self, begins: bool, now: BootTime, window: Duration) -> bool {
-        if self.at_hand(now) == 0 {
+        if self.available(now) == 0 {
             return false;
         }
-        self.begun += u64::from(begins);
-        self.note_use(now, window);
+        self.programs_started += u64::from(begins);
+        self.record_use(now, window);
         true
     }
 
-    /// Lets a request through though no home answers, as long as no more pass than did before; returns whether it may.
+    /// Admits a request without a reply from a home, at no more than the rate before; returns whether the request is
+    /// admitted.
     pub fn take_standalone(&mut self, now: BootTime, rule: &LimitRule) -> bool {
         let window = rule.window;
-        let passes = self.passes_alone(now, rule);
-        let steady = self.steady.max(FIRST_USES);
-        if self.recent.sum(now, window) >= steady || self.alone >= passes {
+        let allowed = self.allowed_standalone(now, rule);
+        let reserved = self.reserved.max(MIN_STANDALONE);
+        if self.recent.sum(now, window) >= reserved || self.standalone_since_reply >= allowed {
             return false;
         }
-        self.alone += 1;
-        self.all_alone += 1;
+        self.standalone_since_reply += 1;
+        self.standalone_total += 1;
         self.granted += 1;
-        self.note_use(now, window);
+        self.record_use(now, window);
         true
     }
 
-    /// Returns how many requests may pass since a home answered: their pace is even, since a home learns only after a
-    /// while that it has to keep a part for this entry.
-    fn passes_alone(&self, now: BootTime, rule: &LimitRule) -> u32 {
-        let silence = self.answered.map(|answered| now.since(answered));
-        let Some(silence) = silence.filter(|silence| *silence < rule.standalone_period) else {
+    /// Returns the number of standalone requests that are allowed since the home's last reply.
+    ///
+    /// The requests are spread evenly over time, since a home detects only after a while that it has to reserve a part
+    /// of the limit for this entry.
+    fn allowed_standalone(&self, now: BootTime, rule: &LimitRule) -> u32 {
+        let since_reply = self.last_reply.map(|last_reply| now.since(last_reply));
+        let Some(since_reply) =
+            since_reply.filter(|since_reply| *since_reply < rule.standalone_period)
+        else {
             return 0;
         };
-        let windows = silence.as_secs_f64() / rule.window.as_secs_f64();
-        let passed = f64::from(self.steady) * windows;
-        // Silence lasts a minute or so at most.
+        let windows = since_reply.as_secs_f64() / rule.window.as_secs_f64();
+        let allowed = f64::from(self.reserved) * windows;
+        // The period without a reply is limited to about a minute.
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let passed = passed.ceil() as u32;
-        passed.max(FIRST_USES)
+        let allowed = allowed.ceil() as u32;
+        allowed.max(MIN_STANDALONE)
     }
 
-    /// Gives back the token of a request that has not run.
+    /// Returns the token of a request that did not run.
     pub fn give_back(&mut self) {
         self.used = self.used.saturating_sub(1);
         self.recent.take_back();
     }
 
-    /// Returns whether requests were let through of which no home knows yet.
+    /// Returns whether there are standalone requests that no home knows of yet.
     #[must_use]
     pub fn has_unreported_uses(&self) -> bool {
-        self.alone > 0
+        self.standalone_since_reply > 0
     }
 
-    /// Returns whether tokens have lapsed of which no home knows that they were not used.
+    /// Returns whether tokens have lapsed that no home knows to be unused.
     #[must_use]
     pub fn has_lapsed_tokens(&self, now: BootTime) -> bool {
-        now >= self.lapses && self.granted > self.used
+        now >= self.valid_until && self.granted > self.used
     }
 
-    /// Counts a request that waits for a token.
+    /// Counts a request that starts to wait for a token.
     pub fn begin_waiting(&mut self) {
         self.waiting += 1;
     }
 
-    /// Counts it no longer.
+    /// Counts a request that no longer waits for a token.
     pub fn end_waiting(&mut self) {
         self.waiting = self.waiting.saturating_sub(1);
     }
 
-    /// Returns whether tokens are to be asked for before they are needed, and notes that they are.
+    /// Returns whether tokens have to be requested in advance, and marks the prefetch as in progress.
     pub fn begin_prefetch(&mut self, now: BootTime) -> bool {
-        let begins = !self.near && !self.asking_ahead && self.at_hand(now) == 0;
-        self.asking_ahead |= begins;
+        let begins = !self.near_limit && !self.prefetching && self.available(now) == 0;
+        self.prefetching |= begins;
         begins
     }
 
-    /// Returns whether a home is to be told of requests that passed without one, and notes that it is.
+    /// Returns whether standalone requests have to be reported to a home, and marks the report as in progress.
     pub fn begin_report(&mut self) -> bool {
-        let begins = !self.asking_ahead;
-        self.asking_ahead = true;
+        let begins = !self.prefetching;
+        self.prefetching = true;
         begins
     }
 
-    /// Notes that no tokens are being asked for in advance any more.
+    /// Marks that neither a prefetch nor a report is in progress any more.
     pub fn end_prefetch(&mut self) {
-        self.asking_ahead = false;
+        self.prefetching = false;
     }
 
-    /// Returns for how long a request is refused without asking anew; `None` where it isn't.
+    /// Returns the time for which a request is refused without another query, and the home's counts; `None` if the
+    /// request is not refused.
     #[must_use]
     pub fn refused_for(&self, begins: bool, now: BootTime) -> Option<(Duration, WindowUse)> {
         let times = &self.refused_until;
         let until = if begins {
-            times.beginning.max(times.others)
+            times.program_starts.max(times.others)
         } else {
             times.others
         };
-        (until > now).then(|| (until.since(now), self.use_then))
+        (until > now).then(|| (until.since(now), self.use_at_refusal))
     }
 
-    /// Notes that a home refuses.
+    /// Records a home's refusal.
     pub fn record_refusal(&mut self, begins: bool, grant: &AllowanceGrant, now: BootTime) {
-        let until = now.after(grant.retry_after.min(LONGEST_REFUSAL));
-        self.use_then = grant.use_now;
+        let until = now.after(grant.retry_after.min(MAX_REFUSAL));
+        self.use_at_refusal = grant.use_now;
         if begins {
-            self.refused_until.beginning = until;
+            self.refused_until.program_starts = until;
         } else {
             self.refused_until.others = until;
         }
     }
 
-    /// Returns whether the organisation was near its limit when a home answered last.
+    /// Returns whether the organisation was near its limit at the home's last reply.
     #[must_use]
     pub fn is_near_limit(&self) -> bool {
-        self.near
+        self.near_limit
     }
 
-    /// Composes a question.
+    /// Composes a request for tokens.
     pub fn compose_request(
         &mut self,
         organisation: OrganisationTag,
@@ -198,7 +204,7 @@
         self.sequence += 1;
         let recent = self.recent.parts(now, source.rule.window);
         let rate: u32 = recent.iter().sum();
-        let spare = (rate / SPARE_DIVISOR).clamp(1, MOST_SPARE);
+        let spare = (rate / SPARE_DIVISOR).clamp(1, MAX_SPARE);
         AllowanceRequest {
             organisation,
             instance: source.instance,
@@ -206,8 +212,8 @@
             sequence: self.sequence,
             limit,
             used: self.used,
-            begun: self.begun,
-            alone: self.all_alone,
+            begun: self.programs_started,
+            alone: self.standalone_total,
             waiting: self.waiting,
             spare: if source.prefetch { spare } else { 0 },
             begins,
@@ -215,30 +221,30 @@
         }
     }
 
-    /// Takes a home's answer to a question that was sent at a time.
+    /// Applies a home's reply to a request that was sent at `sent`.
     pub fn accept(&mut self, grant: &AllowanceGrant, sent: BootTime, now: BootTime) {
-        if now >= self.lapses {
+        if now >= self.valid_until {
             self.granted = self.used;
         }
-        // One that grants less has not counted all that is at hand, and makes it last no longer.
+        // A smaller grant does not include all tokens that are held; it does not extend their validity.
         if grant.granted >= self.granted {
             self.granted = grant.granted;
-            self.lapses = sent.after(grant.lasts);
+            self.valid_until = sent.after(grant.lasts);
         }
-        self.near = grant.near;
-        self.answered = Some(now);
-        self.alone = 0;
-        self.steady = grant.steady;
+        self.near_limit = grant.near;
+        self.last_reply = Some(now);
+        self.standalone_since_reply = 0;
+        self.reserved = grant.steady;
     }
 
-    fn at_hand(&self, now: BootTime) -> u64 {
-        if now >= self.lapses {
+    fn available(&self, now: BootTime) -> u64 {
+        if now >= self.valid_until {
             return 0;
         }
         self.granted.saturating_sub(self.used)
     }
 
-    fn note_use(&mut self, now: BootTime, window: Duration) {
+    fn record_use(&mut self, now: BootTime, window: Duration) {
         self.used += 1;
         self.recent.add(now, window);
     }
--- a/crates/samphiregrade-gateway/src/limits/ledger.rs
+++ b/crates/samphiregrade-gateway/src/limits/ledger.rs
@@ -1,4 +1,4 @@
-//! The home's side: what all entries have been granted of the organisations' limits.
+//! Home side of the request limits: the tokens that all entries were granted of the organisations' limits.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,138 +6,144 @@
 use serde::{Deserialize, Serialize};
 
 use super::message::{AllowanceGrant, AllowanceRequest, InstanceTag, LimitRule};
-use super::organisation::{OrganisationLedger, SILENT_AFTER, rounded_up};
+use super::organisation::{OrganisationLedger, UNRESPONSIVE_AFTER, rounded_up};
 use super::program_size::ProgramSize;
 use crate::model::OrganisationTag;
 
-/// Time on a home's own clock, which goes on where it stood when the home starts again.
+/// Time on a home's own clock, which continues at its last value after a restart of the home.
 pub type LedgerTime = Duration;
 
-/// Time for which it is remembered when an instance was heard.
-const HEARD_TIME: Duration = Duration::from_mins(2);
+/// Time for which the last contact with an instance is kept.
+const CONTACT_MEMORY: Duration = Duration::from_mins(2);
 
-/// Times in a window at which what is kept for silent instances is written down.
-const KEPT_NOTES: u32 = 4;
+/// How often in a window the reservations for unresponsive instances are written to disk.
+const RESERVATION_WRITES: u32 = 4;
 
-/// Newest uses among which one of the same time and organisation is looked for.
-const UNSAVED_LOOK: usize = 16;
+/// Number of the newest unsaved uses that are searched for one with the same time, instance and organisation.
+const UNSAVED_SEARCH: usize = 16;
 
-/// Tokens of an organisation by the time at which they leave the window.
+/// Tokens that an instance has used of an organisation's limit, with the time at which they leave the window.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LimitUse {
     /// The organisation.
     pub organisation: OrganisationTag,
-    /// The instance that used them.
+    /// The instance that used the tokens.
     pub instance: InstanceTag,
-    /// When they leave.
+    /// Time at which the tokens leave the window.
     pub leaves: LedgerTime,
-    /// How many.
+    /// Number of tokens.
     pub count: u32,
 }
 
-/// What a home knows of the organisations that it is home to.
+/// A home's ledger of all organisations that it is responsible for.
 #[derive(Debug)]
 pub struct LimitLedger {
     rule: LimitRule,
     organisations: HashMap<OrganisationTag, OrganisationLedger>,
-    /// When each instance was heard last.
-    heard: HashMap<InstanceTag, LedgerTime>,
-    /// Uses that are not told for the disk yet.
+    /// Time of the last contact with each instance.
+    last_contacts: HashMap<InstanceTag, LedgerTime>,
+    /// Uses that were not passed to the disk yet.
     unsaved: Vec<LimitUse>,
     programs: ProgramSize,
-    /// When what is kept for silent instances is written down next.
-    next_kept_note: LedgerTime,
+    /// Time at which the reservations for unresponsive instances are next written to disk.
+    next_reservation_write: LedgerTime,
 }
 
 impl LimitLedger {
-    /// Makes a ledger that knows of nothing.
+    /// Returns an empty ledger.
     #[must_use]
     pub fn new(rule: LimitRule) -> Self {
         Self {
             rule,
             organisations: HashMap::new(),
-            heard: HashMap::new(),
+            last_contacts: HashMap::new(),
             unsaved: Vec::new(),
             programs: ProgramSize::default(),
-            next_kept_note: LedgerTime::ZERO,
+            next_reservation_write: LedgerTime::ZERO,
         }
     }
 
-    /// Notes that an instance is within reach.
+    /// Records a contact with an instance, which shows that the instance is reachable.
     pub fn record_contact(&mut self, instance: InstanceTag, now: LedgerTime) {
-        self.heard.insert(instance, now);
+        self.last_contacts.insert(instance, now);
     }
 
-    /// Answers an entry.
-    pub fn answer(&mut self, ask: &AllowanceRequest, now: LedgerTime) -> AllowanceGrant {
-        self.record_contact(ask.instance, now);
-        let organisation = self.organisations.entry(ask.organisation).or_default();
+    /// Replies to an entry's request.
+    pub fn answer(&mut self, request: &AllowanceRequest, now: LedgerTime) -> AllowanceGrant {
+        self.record_contact(request.instance, now);
+        let organisation = self.organisations.entry(request.organisation).or_default();
         organisation.expire(now);
-        if ask.limit.version >= organisation.limit.version {
-            organisation.limit = ask.limit;
+        if request.limit.version >= organisation.limit.version {
+            organisation.limit = request.limit;
         }
-        organisation.take_report(ask, now, self.rule.window);
-        let reserved = organisation.reserved(&self.heard, &self.rule, now);
+        organisation.apply_report(request, now, self.rule.window);
+        let uncounted_use = organisation.uncounted_use(&self.last_contacts, &self.rule, now);
         let fitting = self.programs.fitting(organisation.limit.requests);
-        let grant = organisation.grant(ask, reserved, fitting, now, self.rule.window);
-        let count = organisation.take_unsaved(ask, &grant);
-        let begun = organisation.take_begun(ask, &grant, now + self.rule.window);
-        // What is refused belongs to a program as well.
-        let refused = !ask.begins && grant.granted < ask.used + u64::from(ask.waiting);
-        self.programs.note(count + u32::from(refused), begun);
-        self.note_unsaved(ask, now + self.rule.window, count);
+        let grant = organisation.grant(request, uncounted_use, fitting, now, self.rule.window);
+        let count = organisation.take_unsaved(request, &grant);
+        let started = organisation.record_started_programs(request, &grant, now + self.rule.window);
+        // A refused request belongs to a program as well.
+        let refused = !request.begins && grant.granted < request.used + u64::from(request.waiting);
+        self.programs.note(count + u32::from(refused), started);
+        self.record_unsaved(request, now + self.rule.window, count);
         grant
     }
 
-    fn note_unsaved(&mut self, ask: &AllowanceRequest, leaves: LedgerTime, count: u32) {
+    fn record_unsaved(&mut self, request: &AllowanceRequest, leaves: LedgerTime, count: u32) {
         if count == 0 {
             return;
         }
         let leaves = rounded_up(leaves);
-        let same = |known: &&mut LimitUse| {
-            known.organisation == ask.organisation
-                && known.instance == ask.instance
-                && known.leaves == leaves
+        let same_use = |matching_use: &&mut LimitUse| {
+            matching_use.organisation == request.organisation
+                && matching_use.instance == request.instance
+                && matching_use.leaves == leaves
         };
-        if let Some(known) = self.unsaved.iter_mut().rev().take(UNSAVED_LOOK).find(same) {
-            known.count += count;
+        if let Some(matching_use) = self
+            .unsaved
+            .iter_mut()
+            .rev()
+            .take(UNSAVED_SEARCH)
+            .find(same_use)
+        {
+            matching_use.count += count;
             return;
         }
         self.unsaved.push(LimitUse {
-            organisation: ask.organisation,
-            instance: ask.instance,
+            organisation: request.organisation,
+            instance: request.instance,
             leaves,
             count,
         });
     }
 
-    /// Returns the uses that came since it was asked last, to be kept over a start of the home.
+    /// Returns the uses since the last call, which have to be kept over a restart of the home.
     ///
-    /// What is kept for silent instances is among them: nobody tells what these use.
+    /// They include the reservations for unresponsive instances, since nobody reports what these instances use.
     pub fn take_unsaved(&mut self, now: LedgerTime) -> Vec<LimitUse> {
         let mut uses = std::mem::take(&mut self.unsaved);
-        if now < self.next_kept_note {
+        if now < self.next_reservation_write {
             return uses;
         }
-        self.next_kept_note = now + self.rule.window / KEPT_NOTES;
+        self.next_reservation_write = now + self.rule.window / RESERVATION_WRITES;
         for (&organisation, ledger) in &self.organisations {
             for account in ledger.accounts.values() {
-                let alone = account.goes_on_alone(&self.heard, &self.rule, now);
-                if account.kept == 0 || !alone {
+                let standalone = account.may_be_standalone(&self.last_contacts, &self.rule, now);
+                if account.reserved == 0 || !standalone {
                     continue;
                 }
                 uses.push(LimitUse {
                     organisation,
                     instance: account.instance,
                     leaves: now + self.rule.window,
-                    count: account.kept,
+                    count: account.reserved,
                 });
             }
         }
         uses
     }
 
-    /// Returns the tokens of an organisation that count in the window.
+    /// Returns the number of an organisation's tokens that count in the window.
     pub fn total(&mut self, organisation: OrganisationTag, now: LedgerTime) -> i64 {
         let Some(organisation) = self.organisations.get_mut(&organisation) else {
             return 0;
@@ -146,7 +152,7 @@
         organisation.total
     }
 
-    /// Returns all that counts, for a home that keeps it anew.
+    /// Returns all uses that count, for a home that writes its state anew.
     #[must_use]
     pub fn all_uses(&self) -> Vec<LimitUse> {
         let mut uses = Vec::new();
@@ -163,35 +169,38 @@
         uses
     }
 
-    /// Takes uses that were kept, when the home starts again.
+    /// Restores saved uses when the home restarts.
     ///
-    /// An instance that stays silent from then on may be cut off, and go on as before.
+    /// An instance that stays unresponsive from then on may be cut off and continue at its previous rate.
     pub fn restore(&mut self, uses: &[LimitUse], now: LedgerTime) {
-        for kept in uses.iter().filter(|kept| kept.leaves > now) {
-            // Until it is heard it counts as silent.
-            self.heard
-                .insert(kept.instance, now.saturating_sub(SILENT_AFTER));
-            let organisation = self.organisations.entry(kept.organisation).or_default();
+        for saved_use in uses.iter().filter(|saved_use| saved_use.leaves > now) {
+            // Until the first contact, the instance counts as unresponsive.
+            self.last_contacts
+                .insert(saved_use.instance, now.saturating_sub(UNRESPONSIVE_AFTER));
+            let organisation = self
+                .organisations
+                .entry(saved_use.organisation)
+                .or_default();
             organisation.restored_until = Some(now + self.rule.window);
-            // All lives of an instance before the start are one.
-            let life = kept.instance;
-            organisation.charge(life, kept.leaves, kept.count);
-            let account = organisation.accounts.entry(life).or_default();
-            account.instance = kept.instance;
-            account.asked = now;
-            account.steady += kept.count;
-            account.kept += kept.count;
-            organisation.kept += kept.count;
+            // All starts of an instance before the home's restart are combined into one account.
+            let incarnation = saved_use.instance;
+            organisation.charge(incarnation, saved_use.leaves, saved_use.count);
+            let account = organisation.accounts.entry(incarnation).or_default();
+            account.instance = saved_use.instance;
+            account.last_request = now;
+            account.recent_use += saved_use.count;
+            account.reserved += saved_use.count;
+            organisation.reserved += saved_use.count;
         }
     }
 
-    /// Forgets what counts no longer.
+    /// Drops state that no longer counts.
     pub fn sweep(&mut self, now: LedgerTime) {
-        self.heard
-            .retain(|_, heard| now.saturating_sub(*heard) < HEARD_TIME);
+        self.last_contacts
+            .retain(|_, contact| now.saturating_sub(*contact) < CONTACT_MEMORY);
         self.organisations.retain(|_, organisation| {
             organisation.expire(now);
-            organisation.forget(&self.rule, now);
+            organisation.drop_expired(&self.rule, now);
             organisation.total > 0 || !organisation.accounts.is_empty()
         });
     }
--- a/crates/samphiregrade-gateway/src/limits/message.rs
+++ b/crates/samphiregrade-gateway/src/limits/message.rs
@@ -1,4 +1,4 @@
-//! What entries and an organisation's home say to each other.
+//! Messages between entries and an organisation's home.
 
 use std::time::Duration;
 
@@ -10,15 +10,15 @@
 /// Hash of an instance's name.
 pub type InstanceTag = u64;
 
-/// Number of one start of an entry.
+/// Random number of one start of an entry.
 pub type EntryIncarnation = u64;
 
-/// How limits are counted.
+/// Rule by which requests are counted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LimitRule {
     /// Window in which requests are counted.
     pub window: Duration,
-    /// How long an entry that no home answers goes on with what it used before.
+    /// Longest time for which an entry without a reply from a home continues at its previous rate.
     pub standalone_period: Duration,
 }
 
@@ -34,79 +34,80 @@
 /// Requests that an organisation may make in one window.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WindowLimit {
-    /// Configuration that says so; the newest one counts.
+    /// Version of the configuration that sets the limit; the newest one applies.
     pub version: ConfigVersion,
-    /// The requests.
+    /// Number of requests.
     pub requests: u32,
 }
 
 impl WindowLimit {
-    /// Returns what a limit comes to in a window.
+    /// Returns the number of requests that a limit allows in a window.
     #[must_use]
     pub fn of(limit: &RequestLimit, window: Duration, version: ConfigVersion) -> Self {
         let requests = limit.rate_per_second * window.as_secs_f64() + limit.burst;
-        // A float beyond the range becomes the nearest whole number.
+        // The conversion saturates at the bounds of the integer type.
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let requests = requests as u32;
         Self { version, requests }
     }
 }
 
-/// An entry's question for tokens.
+/// An entry's request for tokens.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AllowanceRequest {
     /// The organisation.
     pub organisation: OrganisationTag,
-    /// The instance that asks.
+    /// The requesting instance.
     pub instance: InstanceTag,
-    /// Its start.
+    /// The start of the instance.
     pub life: EntryIncarnation,
-    /// Number of the question among those of this start; a lower one has been overtaken.
+    /// Sequence number of the request since the start of the instance; a lower number than the last one is outdated.
     pub sequence: u64,
-    /// What the organisation may make, by the configuration that the entry knows.
+    /// The organisation's limit, by the configuration that the entry knows.
     pub limit: WindowLimit,
     /// Tokens used since the entry's start.
     pub used: u64,
-    /// Requests that it let through without a token; they count as tokens granted and used.
+    /// Standalone requests since the entry's start; they count as tokens granted and used.
     pub alone: u64,
-    /// Tokens with which a program began.
+    /// Tokens since the entry's start that were used for starting a program.
     pub begun: u64,
     /// Requests that wait for a token.
     pub waiting: u32,
-    /// Tokens that it would like to hold beside them.
+    /// Tokens to hold in advance, in addition to those for waiting requests.
     pub spare: u32,
-    /// Whether the waiting request begins a program.
+    /// Whether the waiting request starts a program.
     pub begins: bool,
     /// Tokens used in the parts of the window that ends now, the newest first.
     pub recent: [u32; RECENT_PARTS],
 }
 
-/// What a home counts of an organisation in the window.
+/// A home's counts of an organisation in the window.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WindowUse {
-    /// Requests that it may make.
+    /// Requests that the organisation may make.
     pub limit: u32,
-    /// Requests that count, with what is kept for silent entries.
+    /// Requests that count, including the reservations for unresponsive entries.
     pub taken: u32,
-    /// Programs that have begun.
+    /// Programs that have started.
     pub begun: u32,
-    /// Programs that fit into the limit; 0 where that is not known.
+    /// Programs that fit into the limit; 0 if unknown.
     pub fitting: u32,
 }
 
-/// A home's answer.
+/// A home's reply to a request for tokens.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AllowanceGrant {
-    /// Tokens that the entry may use in all, since its start.
+    /// Total number of tokens that the entry may use since its start.
     pub granted: u64,
-    /// How long after the question those may be used that are left over.
+    /// Time after the request until which the remaining tokens are valid.
     pub lasts: Duration,
     /// Whether the organisation is near its limit.
     pub near: bool,
-    /// What the home keeps for the entry where it falls silent: as many requests a window it may let through then.
+    /// Requests in a window that the home reserves for the entry; without a reply from the home, the entry may admit as
+    /// many.
     pub steady: u32,
-    /// When a refused request may come back.
+    /// Time after which a refused request may be repeated.
     pub retry_after: Duration,
-    /// What the home counts.
+    /// The home's counts.
     pub use_now: WindowUse,
 }
--- a/crates/samphiregrade-gateway/src/limits/mod.rs
+++ b/crates/samphiregrade-gateway/src/limits/mod.rs
@@ -1,14 +1,16 @@
-//! Organisations' request limits, kept over all instances: pure decisions, without a clock or a network of their own.
+//! Request limits of organisations, enforced over all instances: pure decisions, without a clock or network of their
+//! own.
 //!
-//! Answers the pattern of an organisation that suddenly sends many times its usual through many entries: the sum over
-//! all of them has to stay within the limit, while nobody below it may be refused, and nearly no request may wait for a
-//! question to somebody else.
+//! Handles an organisation that suddenly sends many times its usual rate through many entries. The sum over all entries
+//! has to stay within the limit, no organisation below its limit may be refused, and nearly no request may wait for a
+//! query to another instance.
 //!
-//! * [`LimitLedger`] is kept by an organisation's home, one of the keepers: it grants tokens and counts each in the
-//!   window from the grant on, so that a lost answer or a lost entry costs some of the limit but never exceeds it;
-//! * [`OrganisationAllowance`] is what an entry holds of one organisation: tokens that it was granted in advance, what
-//!   it has used of them, and what it may go on with where no home answers;
-//! * [`AllowanceRequest`] and [`AllowanceGrant`] carry totals and not differences: they may be lost, repeated or overtaken.
+//! * [`LimitLedger`] is kept by an organisation's home, one of the keepers. It grants tokens and counts each one in the
+//!   window from the grant on, so a lost reply or a lost entry wastes part of the limit, which is still never exceeded.
+//! * [`OrganisationAllowance`] is what an entry holds of one organisation's limit: the tokens that it was granted in
+//!   advance, the number that it has used, and the rate at which it may continue if no home replies.
+//! * [`AllowanceRequest`] and [`AllowanceGrant`] carry totals and not differences, so they may be lost, duplicated or
+//!   reordered.
 
 mod allowance;
 mod ledger;
--- a/crates/samphiregrade-gateway/src/limits/organisation.rs
+++ b/crates/samphiregrade-gateway/src/limits/organisation.rs
@@ -1,4 +1,4 @@
-//! One organisation as its home knows it: what counts in the window, and what each entry was granted.
+//! A home's ledger of one organisation: the tokens that count in the window, and those that each entry was granted.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -10,71 +10,72 @@
 };
 use super::recent::RECENT_PARTS;
 
-/// How long a token may be used after the question that brought it.
+/// Time after the request for which a granted token is valid.
 const TOKEN_LIFE: Duration = Duration::from_secs(2);
 
-/// Step to which the times are rounded at which charges leave the window, so that many cost no more than a few.
+/// Step to which the times are rounded up at which charges leave the window, so that many charges share a few times.
 const CHARGE_STEP: Duration = Duration::from_millis(20);
 
-/// Part of the limit from which on tokens are granted only to requests that wait for them.
+/// Share of the limit from which on tokens are granted only to requests that wait for them.
 const NEAR_SHARE: f64 = 0.5;
 
-/// Part of the limit that may be held in advance by all entries together.
+/// Share of the limit that all entries together may hold in advance.
 const SPARE_SHARE: f64 = 0.125;
 
-/// Silence of an instance after which it is taken to go on without its home: entries ask whether a keeper is there
-/// several times a second.
-pub(super) const SILENT_AFTER: Duration = Duration::from_millis(700);
+/// Time without contact after which an instance is assumed to continue without its home: entries check several times a
+/// second whether a keeper is reachable.
+pub(super) const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(700);
 
-/// Newest parts of an entry's window that a home which has just started again can't know from its disk: it was away for
-/// about as long.
-const UNKNOWN_PARTS: usize = 6;
+/// Number of the newest parts of an entry's window that a home which has just restarted can't know from its disk,
+/// because the home was down for about that time.
+const UNSAVED_PARTS: usize = 6;
 
-/// Returns a part of a number of requests.
+/// Returns a share of a number of requests, rounded up.
 fn part_of(requests: u32, share: f64) -> i64 {
-    // Both are small.
+    // Both factors are small.
     #[allow(clippy::cast_possible_truncation)]
     let part = (f64::from(requests) * share).ceil() as i64;
     part
 }
 
-/// What one start of an entry was granted.
+/// Account of one start of an entry.
 #[derive(Debug, Default)]
 pub(super) struct EntryAccount {
     pub(super) instance: InstanceTag,
     pub(super) sequence: u64,
-    /// When it asked last.
-    pub(super) asked: LedgerTime,
+    /// Time of the last request.
+    pub(super) last_request: LedgerTime,
     pub(super) granted: u64,
     pub(super) used: u64,
-    pub(super) alone: u64,
-    pub(super) lapses: LedgerTime,
-    /// When its charges leave the window, and how many do.
+    pub(super) standalone: u64,
+    pub(super) valid_until: LedgerTime,
+    /// Times at which charges leave the window, with the number of tokens.
     pub(super) charges: VecDeque<(LedgerTime, u32)>,
-    /// What it had used in its window when it asked last: with as much it goes on by itself.
-    pub(super) steady: u32,
-    /// What is kept for it where it falls silent.
-    pub(super) kept: u32,
-    /// Programs that began with its tokens.
-    pub(super) begun: u64,
-    /// Tokens used or about to be that are told for the disk.
+    /// Tokens used in the entry's window at the last request: without a home, the entry continues with as many.
+    pub(super) recent_use: u32,
+    /// Requests in a window that are reserved for the entry in case it loses contact.
+    pub(super) reserved: u32,
+    /// Programs that were started with the entry's tokens.
+    pub(super) started: u64,
+    /// Tokens, used or about to be used, that were passed to the disk.
     pub(super) saved: u64,
 }
 
 impl EntryAccount {
-    /// Returns whether the entry may be letting requests through without this home: it has fallen silent since it asked.
-    pub(super) fn goes_on_alone(
+    /// Returns whether the entry may be admitting requests without this home, having lost contact since its last
+    /// request.
+    pub(super) fn may_be_standalone(
         &self,
-        heard: &HashMap<InstanceTag, LedgerTime>,
+        last_contacts: &HashMap<InstanceTag, LedgerTime>,
         rule: &LimitRule,
         now: LedgerTime,
     ) -> bool {
-        let Some(heard) = heard.get(&self.instance) else {
+        let Some(last_contact) = last_contacts.get(&self.instance) else {
             return false;
         };
-        let silent = now.saturating_sub(*heard) >= SILENT_AFTER;
-        // What it lets through last counts for a window more.
-        silent && now < self.asked + rule.standalone_period + rule.window
+        let unresponsive = now.saturating_sub(*last_contact) >= UNRESPONSIVE_AFTER;
+        // The last requests that the entry admits count for one more window.
+        unresponsive && now < self.last_request + rule.standalone_period + rule.window
     }
 
     fn outstanding(&self) -> i64 {
@@ -82,28 +83,32 @@
     }
 }
 
-/// One organisation.
+/// Ledger of one organisation.
 #[derive(Debug, Default)]
 pub(super) struct OrganisationLedger {
     pub(super) limit: WindowLimit,
     /// Tokens by the time at which they leave the window.
     pub(super) leaving: BTreeMap<LedgerTime, u32>,
     pub(super) total: i64,
-    /// Programs that have begun, by the time at which they leave the window.
-    pub(super) begun: VecDeque<(LedgerTime, u32)>,
-    /// Tokens that entries hold and have not used, as far as they have told.
+    /// Programs that have started, by the time at which they leave the window.
+    pub(super) started: VecDeque<(LedgerTime, u32)>,
+    /// Tokens that entries hold and have not used, as far as they have reported.
     pub(super) outstanding: i64,
-    /// What is kept for all entries together.
-    pub(super) kept: u32,
+    /// Sum of the reservations for all entries.
+    pub(super) reserved: u32,
     pub(super) accounts: HashMap<EntryIncarnation, EntryAccount>,
-    /// Until when what entries used before they asked may be known from the disk.
+    /// Time until which the uses before an entry's first request may already be known from the disk.
     pub(super) restored_until: Option<LedgerTime>,
 }
 
 impl OrganisationLedger {
     pub(super) fn expire(&mut self, now: LedgerTime) {
-        while self.begun.front().is_some_and(|(leaves, _)| *leaves <= now) {
-            self.begun.pop_front();
+        while self
+            .started
+            .front()
+            .is_some_and(|(leaves, _)| *leaves <= now)
+        {
+            self.started.pop_front();
         }
         while let Some(first) = self.leaving.first_entry() {
             if *first.key() > now {
@@ -119,19 +124,19 @@
     }
 
     /// Counts tokens of an entry until they leave the window.
-    pub(super) fn charge(&mut self, life: EntryIncarnation, leaves: LedgerTime, count: u32) {
+    pub(super) fn charge(&mut self, incarnation: EntryIncarnation, leaves: LedgerTime, count: u32) {
         if count == 0 {
             return;
         }
         let leaves = rounded_up(leaves);
         self.count(leaves, count);
-        let account = self.accounts.entry(life).or_default();
+        let account = self.accounts.entry(incarnation).or_default();
         account.charges.push_back((leaves, count));
     }
 
-    /// Counts tokens of an entry no longer, the newest first.
-    fn release(&mut self, life: EntryIncarnation, mut count: i64) {
-        let Some(account) = self.accounts.get_mut(&life) else {
+    /// Stops counting tokens of an entry, the newest first.
+    fn release(&mut self, incarnation: EntryIncarnation, mut count: i64) {
+        let Some(account) = self.accounts.get_mut(&incarnation) else {
             return;
         };
         while count > 0 {
@@ -144,7 +149,7 @@
                 account.charges.push_back((leaves, rest));
             }
             count -= released;
-            // It may have left the window by itself.
+            // The charge may have left the window already.
             let Some(counted) = self.leaving.get_mut(&leaves) else {
                 continue;
             };
@@ -154,172 +159,178 @@
         }
     }
 
-    /// Counts the programs that have begun with an entry's tokens, or begin with what it was granted.
-    pub(super) fn take_begun(
+    /// Counts the programs that were started with an entry's tokens, or will be started with the present grant; returns
+    /// how many are new.
+    pub(super) fn record_started_programs(
         &mut self,
-        ask: &AllowanceRequest,
+        request: &AllowanceRequest,
         grant: &AllowanceGrant,
         leaves: LedgerTime,
     ) -> u32 {
-        let Some(account) = self.accounts.get_mut(&ask.life) else {
+        let Some(account) = self.accounts.get_mut(&request.life) else {
             return 0;
         };
-        let granted = ask.begins && grant.granted > ask.used;
-        let begun = ask.begun + u64::from(granted);
-        let count = u32::try_from(begun.saturating_sub(account.begun)).unwrap_or(u32::MAX);
-        account.begun = account.begun.max(begun);
+        let granted = request.begins && grant.granted > request.used;
+        let started = request.begun + u64::from(granted);
+        let count = u32::try_from(started.saturating_sub(account.started)).unwrap_or(u32::MAX);
+        account.started = account.started.max(started);
         if count > 0 {
-            self.begun.push_back((leaves, count));
+            self.started.push_back((leaves, count));
         }
         count
     }
 
-    /// Takes what an entry has used, and takes back what it can't use any more.
-    pub(super) fn take_report(
+    /// Applies an entry's report of its uses, and reclaims tokens that have lapsed unused.
+    pub(super) fn apply_report(
         &mut self,
-        ask: &AllowanceRequest,
+        request: &AllowanceRequest,
         now: LedgerTime,
         window: Duration,
     ) {
-        let fresh = !self.accounts.contains_key(&ask.life);
-        if fresh {
+        let is_new = !self.accounts.contains_key(&request.life);
+        if is_new {
             self.accounts.insert(
-                ask.life,
+                request.life,
                 EntryAccount {
-                    instance: ask.instance,
-                    granted: ask.used,
-                    used: ask.used,
-                    alone: ask.alone,
-                    saved: ask.used,
-                    begun: ask.begun,
+                    instance: request.instance,
+                    granted: request.used,
+                    used: request.used,
+                    standalone: request.alone,
+                    saved: request.used,
+                    started: request.begun,
                     ..EntryAccount::default()
                 },
             );
-            self.charge_recent(ask, now, window);
+            self.charge_recent(request, now, window);
         }
-        let Some(account) = self.accounts.get_mut(&ask.life) else {
+        let Some(account) = self.accounts.get_mut(&request.life) else {
             return;
         };
-        if ask.sequence < account.sequence {
+        if request.sequence < account.sequence {
             return;
         }
-        account.sequence = ask.sequence;
-        account.asked = now;
-        account.steady = ask.recent.iter().sum();
+        account.sequence = request.sequence;
+        account.last_request = now;
+        account.recent_use = request.recent.iter().sum();
         let before = account.outstanding();
-        account.used = ask.used;
-        let alone = ask.alone.saturating_sub(account.alone);
-        account.alone = account.alone.max(ask.alone);
-        account.granted += alone;
-        // Another home granted these.
-        let granted_elsewhere = ask.used.saturating_sub(account.granted);
-        let unknown = granted_elsewhere + alone;
-        account.granted = account.granted.max(ask.used);
+        account.used = request.used;
+        let standalone = request.alone.saturating_sub(account.standalone);
+        account.standalone = account.standalone.max(request.alone);
+        account.granted += standalone;
+        // Another home granted these tokens.
+        let granted_elsewhere = request.used.saturating_sub(account.granted);
+        let unknown = granted_elsewhere + standalone;
+        account.granted = account.granted.max(request.used);
         let unused = account.outstanding();
-        let lapsed = now >= account.lapses && unused > 0;
-        if lapsed {
+        let has_lapsed = now >= account.valid_until && unused > 0;
+        if has_lapsed {
             account.granted = account.used;
         }
         self.outstanding += account.outstanding() - before;
         let unknown = u32::try_from(unknown).unwrap_or(u32::MAX);
-        self.charge(ask.life, now + window, unknown);
-        if lapsed {
-            self.release(ask.life, unused);
+        self.charge(request.life, now + window, unknown);
+        if has_lapsed {
+            self.release(request.life, unused);
         }
     }
 
-    /// Counts what an entry had used before this home heard of it.
-    fn charge_recent(&mut self, ask: &AllowanceRequest, now: LedgerTime, window: Duration) {
+    /// Counts the tokens that an entry had used before its first request to this home.
+    fn charge_recent(&mut self, request: &AllowanceRequest, now: LedgerTime, window: Duration) {
         let part = window / u32::try_from(RECENT_PARTS).unwrap_or(1);
         let restored = self.restored_until.is_some_and(|until| now < until);
         let unknown = if restored {
-            UNKNOWN_PARTS
+            UNSAVED_PARTS
         } else {
             RECENT_PARTS
         };
         let mut leaves = now + window;
-        for &count in ask.recent.iter().take(unknown) {
-            self.charge(ask.life, leaves, count);
+        for &count in request.recent.iter().take(unknown) {
+            self.charge(request.life, leaves, count);
             leaves = leaves.saturating_sub(part);
         }
     }
 
-    /// Returns the tokens that the entry has used or is about to use beyond those that were told for the disk.
-    pub(super) fn take_unsaved(&mut self, ask: &AllowanceRequest, grant: &AllowanceGrant) -> u32 {
-        let Some(account) = self.accounts.get_mut(&ask.life) else {
+    /// Returns the number of tokens that the entry has used or is about to use and that were not passed to the disk
+    /// yet.
+    pub(super) fn take_unsaved(
+        &mut self,
+        request: &AllowanceRequest,
+        grant: &AllowanceGrant,
+    ) -> u32 {
+        let Some(account) = self.accounts.get_mut(&request.life) else {
             return 0;
         };
-        let used = grant.granted.min(ask.used + u64::from(ask.waiting));
+        let used = grant.granted.min(request.used + u64::from(request.waiting));
         let count = used.saturating_sub(account.saved);
         account.saved = account.saved.max(used);
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// Returns what silent instances may be using by themselves beyond what is counted.
-    pub(super) fn reserved(
+    /// Returns the number of uncounted requests that unresponsive instances may be admitting on their own.
+    pub(super) fn uncounted_use(
         &self,
-        heard: &HashMap<InstanceTag, LedgerTime>,
+        last_contacts: &HashMap<InstanceTag, LedgerTime>,
         rule: &LimitRule,
         now: LedgerTime,
     ) -> i64 {
         let accounts = self.accounts.values();
         accounts
-            .filter(|account| account.goes_on_alone(heard, rule, now))
+            .filter(|account| account.may_be_standalone(last_contacts, rule, now))
             .map(|account| {
                 let counted = account.charges.iter().filter(|(leaves, _)| *leaves > now);
                 let counted: u32 = counted.map(|(_, count)| *count).sum();
-                i64::from(account.kept.saturating_sub(counted))
+                i64::from(account.reserved.saturating_sub(counted))
             })
             .sum()
     }
 
     pub(super) fn grant(
         &mut self,
-        ask: &AllowanceRequest,
-        reserved: i64,
+        request: &AllowanceRequest,
+        uncounted_use: i64,
         fitting: Option<u32>,
         now: LedgerTime,
         window: Duration,
     ) -> AllowanceGrant {
         let limit = self.limit.requests;
-        let taken = self.total + reserved;
+        let taken = self.total + uncounted_use;
         let near = taken >= part_of(limit, NEAR_SHARE);
         let bound = i64::from(limit);
-        let begun: u32 = self.begun.iter().map(|(_, count)| count).sum();
-        // One that can't be ended within the limit would use its part for nothing, and for others' loss.
-        let fits = !ask.begins || fitting.is_none_or(|fitting| begun < fitting);
+        let started: u32 = self.started.iter().map(|(_, count)| count).sum();
+        // A program that can't finish within the limit would waste its share, at the cost of other programs.
+        let fits = !request.begins || fitting.is_none_or(|fitting| started < fitting);
         let granted = self
             .accounts
-            .get(&ask.life)
+            .get(&request.life)
             .map_or(0, |account| account.granted);
-        let wanted = (ask.used + u64::from(ask.waiting)).saturating_sub(granted);
-        let wanted = i64::try_from(wanted).unwrap_or(i64::MAX);
-        let given = if fits {
-            wanted.min(bound - taken).max(0)
+        let requested = (request.used + u64::from(request.waiting)).saturating_sub(granted);
+        let requested = i64::try_from(requested).unwrap_or(i64::MAX);
+        let granted_now = if fits {
+            requested.min(bound - taken).max(0)
         } else {
             0
         };
-        let spare = if near || given < wanted {
+        let spare = if near || granted_now < requested {
             0
         } else {
             let room = part_of(limit, SPARE_SHARE) - self.outstanding;
-            let held = granted.saturating_sub(ask.used + u64::from(ask.waiting));
-            let lacking = i64::from(ask.spare) - i64::try_from(held).unwrap_or(i64::MAX);
+            let held = granted.saturating_sub(request.used + u64::from(request.waiting));
+            let lacking = i64::from(request.spare) - i64::try_from(held).unwrap_or(i64::MAX);
             lacking.min(room).max(0)
         };
-        let (given_count, spare_count) = (small(given), small(spare));
-        self.charge(ask.life, now + window, given_count);
-        // Those are used later, and may be as late as their life allows.
-        self.charge(ask.life, now + window + TOKEN_LIFE, spare_count);
+        let (granted_count, spare_count) = (saturating_count(granted_now), saturating_count(spare));
+        self.charge(request.life, now + window, granted_count);
+        // Tokens held in advance are used later, at the latest when they lapse.
+        self.charge(request.life, now + window + TOKEN_LIFE, spare_count);
         let total = {
-            let account = self.accounts.entry(ask.life).or_default();
+            let account = self.accounts.entry(request.life).or_default();
             let before = account.outstanding();
-            account.granted += u64::from(given_count) + u64::from(spare_count);
-            account.lapses = now + TOKEN_LIFE;
+            account.granted += u64::from(granted_count) + u64::from(spare_count);
+            account.valid_until = now + TOKEN_LIFE;
             self.outstanding += account.outstanding() - before;
             account.granted
         };
-        let steady = self.keep_part(ask.life);
+        let steady = self.reserve(request.life);
         AllowanceGrant {
             granted: total,
             lasts: TOKEN_LIFE,
@@ -327,8 +338,8 @@
             steady,
             use_now: WindowUse {
                 limit,
-                taken: small(taken),
-                begun,
+                taken: saturating_count(taken),
+                begun: started,
                 fitting: fitting.unwrap_or(0),
             },
             retry_after: if fits {
@@ -339,26 +350,26 @@
         }
     }
 
-    /// Keeps a part of the limit for an entry that may fall silent; all parts together are no more than the limit. Returns
-    /// the part.
-    fn keep_part(&mut self, life: EntryIncarnation) -> u32 {
-        let Some(account) = self.accounts.get_mut(&life) else {
+    /// Reserves a part of the limit for an entry that may lose contact; all reservations together don't exceed the
+    /// limit. Returns the reserved number of requests.
+    fn reserve(&mut self, incarnation: EntryIncarnation) -> u32 {
+        let Some(account) = self.accounts.get_mut(&incarnation) else {
             return 0;
         };
-        let others = self.kept - account.kept;
+        let others = self.reserved - account.reserved;
         let room = self.limit.requests.saturating_sub(others);
-        account.kept = kept_for(account.steady).min(room);
-        self.kept = others + account.kept;
-        account.kept
+        account.reserved = reservation_for(account.recent_use).min(room);
+        self.reserved = others + account.reserved;
+        account.reserved
     }
 
-    /// Returns the time until one more program may begin.
+    /// Returns the time until one more program may start.
     fn next_program(&self, now: LedgerTime) -> Duration {
-        let first = self.begun.front();
+        let first = self.started.front();
         first.map_or(CHARGE_STEP, |(leaves, _)| leaves.saturating_sub(now))
     }
 
-    /// Returns the time until so many tokens have left the window.
+    /// Returns the time until `count` tokens have left the window.
     fn room_after(&self, mut count: i64, now: LedgerTime) -> Duration {
         for (&leaves, &leaving) in &self.leaving {
             count -= i64::from(leaving);
@@ -369,31 +380,31 @@
         CHARGE_STEP
     }
 
-    /// Forgets accounts whose charges have all left and that are not kept a part any more.
-    pub(super) fn forget(&mut self, rule: &LimitRule, now: LedgerTime) {
-        let (mut forgotten, mut unkept) = (0, 0);
+    /// Drops accounts whose charges have all left the window and that need no reservation any more.
+    pub(super) fn drop_expired(&mut self, rule: &LimitRule, now: LedgerTime) {
+        let (mut dropped, mut unreserved) = (0, 0);
         self.accounts.retain(|_, account| {
             account.charges.retain(|(leaves, _)| *leaves > now);
-            let kept = !account.charges.is_empty()
-                || now < account.asked + rule.standalone_period + rule.window;
-            if !kept {
-                forgotten += account.outstanding();
-                unkept += account.kept;
+            let keep = !account.charges.is_empty()
+                || now < account.last_request + rule.standalone_period + rule.window;
+            if !keep {
+                dropped += account.outstanding();
+                unreserved += account.reserved;
             }
-            kept
+            keep
         });
-        self.outstanding -= forgotten;
-        self.kept -= unkept;
+        self.outstanding -= dropped;
+        self.reserved -= unreserved;
     }
 }
 
-/// Returns how many requests a window an instance may go on with that used so many: one more, and a little more, since
-/// what it counts as its window is not exact.
-fn kept_for(steady: u32) -> u32 {
-    steady + steady / 8 + 1
+/// Returns the number of requests in a window that an instance with a given use may continue with: one more and an
+/// eighth more, since the bounds of the instance's own window are not exact.
+fn reservation_for(recent_use: u32) -> u32 {
+    recent_use + recent_use / 8 + 1
 }
 
-fn small(count: i64) -> u32 {
+fn saturating_count(count: i64) -> u32 {
     u32::try_from(count).unwrap_or(0)
 }
 
--- a/crates/samphiregrade-gateway/src/limits/program_size.rs
+++ b/crates/samphiregrade-gateway/src/limits/program_size.rs
@@ -1,12 +1,12 @@
-//! How many requests a program makes, as a home sees it.
+//! Estimate of the number of requests that a program makes, as seen by a home.
 
-/// Programs that have to have begun before it is taken as known how many requests one makes.
+/// Number of started programs from which on the estimate is used.
 const LEAST_PROGRAMS: f64 = 20.0;
 
-/// Number of requests after which what was learnt of programs counts half.
+/// Number of requests after which earlier observations count half.
 const LEARNT_REQUESTS: f64 = 20_000.0;
 
-/// How many requests a program makes, as far as has been seen.
+/// Estimate of the number of requests that a program makes.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ProgramSize {
     requests: f64,
@@ -14,21 +14,21 @@
 }
 
 impl ProgramSize {
-    /// Counts requests, and the programs that began with them.
+    /// Counts requests, and the programs that started with them.
     pub(super) fn note(&mut self, requests: u32, programs: u32) {
         let kept = 0.5_f64.powf(f64::from(requests) / LEARNT_REQUESTS);
         self.requests = self.requests * kept + f64::from(requests);
         self.programs = self.programs * kept + f64::from(programs);
     }
 
-    /// Returns how many programs fit into a limit, one at least; `None` where too few were seen.
+    /// Returns the number of programs that fit into a limit, at least one; `None` if too few programs were seen.
     pub(super) fn fitting(&self, limit: u32) -> Option<u32> {
         if self.programs < LEAST_PROGRAMS {
             return None;
         }
         let size = (self.requests / self.programs).max(1.0);
         let fitting = f64::from(limit) / size;
-        // A float beyond the range becomes the nearest whole number.
+        // The conversion saturates at the bounds of the integer type.
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let fitting = (fitting as u32).max(1);
         Some(fitting)
--- a/crates/samphiregrade-gateway/src/model/configuration.rs
+++ b/crates/samphiregrade-gateway/src/model/configuration.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: routes, services, limits.
+//! The operators' configuration: routes, services and limits.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use super::{ConfigVersion, OrganisationRecord, ServiceName};
 
-/// What may be repeated.
+/// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestKind {
     /// May run more than once.
@@ -17,22 +17,22 @@
     Streaming,
 }
 
-/// A service with its share of a route's requests.
+/// A service, with its share of a route's requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServiceShare {
     /// The service.
     pub service: ServiceName,
-    /// Its share, relative to the other services'.
+    /// Share of the requests, relative to the weights of the other services.
     pub weight: u32,
 }
 
-/// Who may send requests to a route, where a configuration names organisations.
+/// Who may send requests to a route, if the configuration has organisations.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum RouteAccess {
-    /// Those who have a key.
+    /// Callers with a key.
     #[default]
     Keyed,
-    /// All.
+    /// All callers.
     Open,
 }
 
@@ -41,36 +41,36 @@
 pub struct RouteRecord {
     /// Name for logs.
     pub name: SmolStr,
-    /// Host that requests name.
+    /// Host that requests of the route name.
     pub host: SmolStr,
-    /// Start of the path, with a slash at both ends.
+    /// Path prefix, with a slash at both ends.
     pub path_prefix: SmolStr,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub kind: RequestKind,
-    /// Longest time that a client is kept waiting.
+    /// Longest time for which a client is kept waiting.
     pub timeout: Duration,
-    /// Time within which an answer is worth its full credit.
+    /// Time within which a response has its full value.
     pub target_latency: Duration,
-    /// Rank, 0 being the most urgent.
+    /// Priority, from 0 (most urgent).
     pub priority: u8,
-    /// Where requests go.
+    /// Services that receive the requests.
     pub shares: Vec<ServiceShare>,
-    /// Most upstreams that one attempt may be sent to.
+    /// Maximum number of upstreams that one attempt may be sent to.
     pub max_attempts: u32,
-    /// Whether turns carry only what is new, and the system keeps the rest.
+    /// Whether turns contain only their new part, and the system stores the rest.
     pub retained: bool,
-    /// How long turns are kept.
+    /// Time for which turns are stored.
     pub retention: Duration,
-    /// Whether requests go where their cached state is.
+    /// Whether requests are sent to the upstream that has their state cached.
     pub affinity: bool,
-    /// Whether a stream may go on at another upstream.
+    /// Whether a stream may be continued on another upstream.
     pub resumable: bool,
-    /// Who may send requests, where there are organisations.
+    /// Who may send requests, if there are organisations.
     pub access: RouteAccess,
 }
 
 impl RouteRecord {
-    /// Returns whether a request may run again after it may have run.
+    /// Returns whether a request that may have run already may run again.
     #[must_use]
     pub fn may_repeat(&self) -> bool {
         match self.kind {
@@ -81,45 +81,45 @@
     }
 }
 
-/// What a service says about the engines that serve it.
+/// Properties of the engines of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineRecord {
-    /// Requests that run at once.
+    /// Requests that run concurrently.
     pub slots: u32,
-    /// Tokens that fit the engine's memory.
+    /// Tokens that fit into the engine's memory.
     pub cache_tokens: u64,
-    /// Tokens that one event stands for.
+    /// Tokens for which one event stands.
     pub tokens_per_event: u32,
-    /// Longest time for which an engine holds a finished request's tokens, where it does.
+    /// Longest time for which an engine keeps a finished request's tokens, if it supports this.
     pub longest_pin: Option<Duration>,
 }
 
 /// A service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceRecord {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Connections that one upstream accepts from all callers.
+    /// Maximum number of connections that one upstream accepts, from all callers together.
     pub connection_limit: u32,
-    /// Set where the upstreams are engines.
+    /// Set if the upstreams are engines.
     pub engine: Option<EngineRecord>,
 }
 
-/// What a client may send, and how long it may take.
+/// Limits of sizes and times for clients.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ClientLimits {
-    /// Longest head in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Longest body in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for sending a head.
+    /// Longest time for sending a request head.
     pub head_timeout: Duration,
-    /// Longest time a connection stays idle.
+    /// Longest time for which a connection may be idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for ClientLimits {
-    /// Limits in force until a configuration is known: those that its schema has as defaults.
+    /// Returns the limits that apply until a configuration is known: the defaults of its schema.
     fn default() -> Self {
         Self {
             head_bytes: 16 << 10,
@@ -133,14 +133,14 @@
 /// One version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RoutingConfig {
-    /// Its version; a higher one is newer.
+    /// Version number; a higher one is newer.
     pub version: ConfigVersion,
     /// Routes.
     pub routes: Vec<RouteRecord>,
     /// Services.
     pub services: Vec<ServiceRecord>,
-    /// Limits towards clients.
+    /// Limits for clients.
     pub limits: ClientLimits,
-    /// Organisations; `None` where callers need no keys at all.
+    /// Organisations; `None` if callers need no keys.
     pub organisations: Option<Vec<OrganisationRecord>>,
 }
--- a/crates/samphiregrade-gateway/src/model/metadata.rs
+++ b/crates/samphiregrade-gateway/src/model/metadata.rs
@@ -1,4 +1,4 @@
-//! What the heads of requests and answers say, decoded.
+//! Decoded metadata from the heads of requests and responses.
 
 use std::time::Duration;
 
@@ -10,77 +10,77 @@
     UpstreamId,
 };
 
-/// A part of a prompt that requests may share.
+/// A part of a prompt that several requests may share.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PromptPart {
     /// Hash of the part's id.
     pub tag: u64,
-    /// Its tokens.
+    /// Number of tokens.
     pub tokens: u32,
 }
 
-/// How many tokens a request reads and may make.
+/// Number of tokens that a request has in its prompt and may generate.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TokenUsage {
     /// Tokens of the prompt.
     pub prompt: u32,
-    /// Most tokens that it may make.
+    /// Maximum number of tokens that the request may generate.
     pub most_output: u32,
 }
 
-/// What a request's head says about it.
+/// Metadata of a request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestMetadata {
     /// Id of this attempt.
     pub request: Option<RequestId>,
-    /// How long the client waits.
+    /// Time for which the client waits.
     pub deadline: Option<Duration>,
-    /// The program it belongs to.
+    /// The program that the request belongs to.
     pub program: Option<ProgramId>,
-    /// The line of turns it belongs to.
+    /// The session that the request belongs to.
     pub session: Option<SessionId>,
-    /// Time until the program should be finished.
+    /// Time before the program's deadline.
     pub program_deadline: Option<Duration>,
-    /// Tokens that the program may make in all; set for turns.
+    /// Total number of tokens that the program may generate; set for turns.
     pub token_budget: Option<u64>,
     /// Tokens of this request.
     pub usage: Option<TokenUsage>,
     /// Parts of the prompt, in order.
     pub prompt: Vec<PromptPart>,
-    /// The turn that this one continues from.
+    /// The turn that this one continues.
     pub previous_turn: Option<TurnId>,
-    /// Object that requests concern; those of one object are faster at one upstream.
+    /// The object that the request concerns; requests for one object are faster on one upstream.
     pub affinity: Option<SmolStr>,
     /// Whether the client resumes a stream.
     pub resumes: bool,
-    /// What it says about who calls.
+    /// The caller's credential.
     pub credential: CallerCredential,
 }
 
-/// What an answer's head says beside its status.
+/// Metadata of a response, in addition to its status.
 #[derive(Clone, Debug, Default)]
 pub struct ResponseMetadata {
-    /// Id of the request that it answers.
+    /// Id of the request.
     pub request: Option<RequestId>,
-    /// Whether the upstream says that it did not run the request.
+    /// Whether the upstream states that it did not run the request.
     pub not_executed: bool,
     /// Load of the upstream.
     pub load: Option<ReportedLoad>,
-    /// Time after which the upstream wants to be asked again.
+    /// Time after which the upstream accepts a repeated request.
     pub retry_after: Option<Duration>,
 }
 
-/// What the system adds to a request on its way to an upstream.
+/// Header values that the system adds to a request for an upstream.
 #[derive(Clone, Debug)]
 pub struct DispatchHeaders {
-    /// Time that is left for the request.
+    /// Time before the request's deadline.
     pub time_left: Duration,
-    /// The upstream that is meant; another one at its address refuses.
+    /// The intended upstream; a different upstream at the same address rejects the request.
     pub upstream: UpstreamId,
-    /// Rank for the upstream, 0 to 9, 0 being the most urgent.
+    /// Priority at the upstream, from 0 (most urgent) to 9.
     pub priority: Option<u8>,
-    /// How long an engine holds the tokens after the request, where it does.
+    /// Time for which the engine keeps the request's tokens afterwards, if it supports this.
     pub pin: Option<Duration>,
-    /// The organisation that calls, where one is known.
+    /// The calling organisation, if known.
     pub organisation: Option<OrganisationName>,
 }
--- a/crates/samphiregrade-gateway/src/model/mod.rs
+++ b/crates/samphiregrade-gateway/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! What the core works with: the operators' configuration, upstreams, and what requests say.
+//! Data model of the core: the operators' configuration, upstreams, and request metadata.
 
 mod configuration;
 mod metadata;
@@ -29,10 +29,10 @@
 /// Name of a failure domain.
 pub type DomainId = SmolStr;
 
-/// Name of a service that upstreams belong to.
+/// Name of a service.
 pub type ServiceName = SmolStr;
 
-/// Id of an upstream; it may keep it when it starts again.
+/// Id of an upstream, which may be the same after a restart.
 pub type UpstreamId = SmolStr;
 
 /// Hash of one start of an upstream, the same on every instance.
@@ -44,10 +44,10 @@
 /// Id of a program.
 pub type ProgramId = SmolStr;
 
-/// Id of a line of turns.
+/// Id of a session: a sequence of turns.
 pub type SessionId = SmolStr;
 
-/// Id of a turn: that of the request that made it.
+/// Id of a turn, which is the id of the request that generated it.
 pub type TurnId = SmolStr;
 
 /// Version of the operators' configuration.
--- a/crates/samphiregrade-gateway/src/model/organisation.rs
+++ b/crates/samphiregrade-gateway/src/model/organisation.rs
@@ -1,4 +1,4 @@
-//! Organisations: who calls, with which keys, and how much.
+//! Organisations, their keys and their request limits.
 
 use std::fmt::{self, Debug, Formatter};
 
@@ -10,12 +10,12 @@
 /// Hash of an organisation's name, the same on every instance.
 pub type OrganisationTag = u64;
 
-/// A caller's key. Only its digest is held, so that no log, dump or copy of memory tells the key.
+/// A caller's key. Only its digest is kept, so that no log, dump or memory copy reveals the key.
 #[derive(Clone, Copy, Eq, Hash, PartialEq)]
 pub struct CallerKey([u8; 32]);
 
 impl CallerKey {
-    /// Digests a key.
+    /// Returns the digest of a key.
     #[must_use]
     pub fn digest(key: &[u8]) -> Self {
         Self(*blake3::hash(key).as_bytes())
@@ -28,36 +28,36 @@
     }
 }
 
-/// What a request says about who calls.
+/// The credential of a request's caller.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum CallerCredential {
-    /// Nothing.
+    /// No credential.
     #[default]
     Absent,
-    /// Something that is no single key: of another scheme, or several at once.
+    /// A credential that is not a single key: one of another scheme, or several credentials at once.
     Unusable,
     /// A key.
     Key(CallerKey),
 }
 
-/// How many requests an organisation may make.
+/// Number of requests that an organisation may make.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestLimit {
-    /// Requests a second.
+    /// Requests per second.
     pub rate_per_second: f64,
-    /// Requests on top.
+    /// Additional requests in a burst.
     pub burst: f64,
 }
 
 /// An organisation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OrganisationRecord {
-    /// Its name.
+    /// Name of the organisation.
     pub name: OrganisationName,
-    /// Its keys.
+    /// Keys of the organisation.
     pub keys: Vec<CallerKey>,
-    /// Rank of its requests, 0 being the most urgent; `None` where the route's counts.
+    /// Priority of the organisation's requests, from 0 (most urgent); `None` if the route's priority applies.
     pub priority: Option<u8>,
-    /// Its limit; `None` where it has none.
+    /// Request limit; `None` if the organisation has none.
     pub limit: Option<RequestLimit>,
 }
--- a/crates/samphiregrade-gateway/src/model/upstream.rs
+++ b/crates/samphiregrade-gateway/src/model/upstream.rs
@@ -1,47 +1,49 @@
-//! Upstreams as they register themselves, and the load that they tell.
+//! Records by which upstreams register, and the load that they report.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use super::{DomainId, ServiceName, UpstreamId};
 
-/// Whether an upstream takes requests.
+/// Whether an upstream accepts requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum UpstreamState {
-    /// It takes requests.
+    /// The upstream accepts requests.
     Ready,
-    /// It is about to leave and gets nothing new.
+    /// The upstream is about to stop and gets no new requests.
     Draining,
 }
 
-/// When an upstream started, in milliseconds since the Unix epoch by its own clock; it tells its starts apart.
+/// Time at which an upstream started, in milliseconds since the Unix epoch by the upstream's own clock; distinguishes
+/// the upstream's starts.
 pub type UpstreamStart = u64;
 
-/// An upstream's entry.
+/// An upstream's record.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct UpstreamRecord {
-    /// Id of the upstream; it may keep it when it starts again.
+    /// Id of the upstream, which may be the same after a restart.
     pub id: UpstreamId,
-    /// When it started; `None` where it doesn't say.
+    /// Time of the upstream's start; `None` if not stated.
     pub started: Option<UpstreamStart>,
-    /// Service that it belongs to.
+    /// Service that the upstream belongs to.
     pub service: ServiceName,
-    /// Its address.
+    /// Address of the upstream.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the upstream.
     pub domain: DomainId,
-    /// Requests that it runs at once.
+    /// Requests that the upstream runs concurrently.
     pub slots: u32,
-    /// Whether it takes requests.
+    /// Whether the upstream accepts requests.
     pub state: UpstreamState,
-    /// How much longer it stays slow after its start.
+    /// Remaining time for which the upstream is slow after its start.
     pub cold: Duration,
 }
 
 impl UpstreamRecord {
-    /// Returns whether another entry with the same id describes the same start of the same upstream.
+    /// Returns whether another record with the same id describes the same start of the same upstream.
     ///
-    /// One that started again knows nothing of before, and one with another address or service is another upstream.
+    /// A restarted upstream has lost its earlier state, and one with another address or service is a different
+    /// upstream.
     #[must_use]
     pub fn is_same_start(&self, other: &Self) -> bool {
         let starts = self.started.zip(other.started);
@@ -51,7 +53,7 @@
             && self.domain == other.domain
     }
 
-    /// Returns whether another entry with the same id describes an earlier start: one that is over.
+    /// Returns whether another record with the same id describes an earlier start, which is over.
     #[must_use]
     pub fn is_after(&self, other: &Self) -> bool {
         let starts = self.started.zip(other.started);
@@ -59,13 +61,13 @@
     }
 }
 
-/// Load that an upstream tells with an answer.
+/// Load that an upstream reports with a response.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait inside it.
+    /// Requests that wait in the upstream's queue.
     pub waiting: u32,
-    /// Requests that it runs at once.
+    /// Requests that the upstream runs concurrently.
     pub slots: u32,
 }
--- a/crates/samphiregrade-gateway/src/upstream/balance.rs
+++ b/crates/samphiregrade-gateway/src/upstream/balance.rs
@@ -1,136 +1,139 @@
-//! Which upstream a request goes to: the least expected time, pure.
+//! Selects the upstream with the least expected cost for a request: pure functions.
 //!
-//! Answers the pattern of a service whose upstreams are shared by many entries: prompts whose first parts are
-//! cached at some engines, slots that fill up in bursts, upstreams in other failure domains.
+//! Handles services whose upstreams are shared by many entries: prompt prefixes that are cached on some engines, slots
+//! that fill up in bursts, and upstreams in other failure domains.
 
 use std::time::Duration;
 
 use super::run_table::UpstreamAccount;
 
-/// What a round trip to another failure domain costs, in milliseconds: one way is about 1.4 ms.
+/// Cost of a round trip to another failure domain, in milliseconds: the one-way latency is about 1.4 ms.
 const OTHER_DOMAIN_MILLISECONDS: f64 = 2.8;
 
-/// What a new connection costs, in milliseconds: about a round trip, and what the upstream takes for it.
+/// Cost of a new connection, in milliseconds: about one round trip, and the upstream's work to accept the connection.
 const CONNECT_MILLISECONDS: f64 = 2.0;
 
-/// Costs that differ by less are equal: the views of loads are no better than that, in milliseconds.
+/// Costs that differ by less than this many milliseconds count as equal, since load estimates are no more precise.
 const INDIFFERENCE_MILLISECONDS: f64 = 0.3;
 
-/// Part of a plain request's own time that each further request on the upstream costs it, per slot: a
-/// processor is shared a little even before the slots are full.
-const PLAIN_SHARING: f64 = 0.35;
+/// Slowdown of a plain request by each other request on the upstream, as a share of the request's own time and per
+/// slot: a processor is slightly contended even before all slots are in use.
+const PLAIN_CONTENTION: f64 = 0.35;
 
-/// Freshness of all views together below which they say nothing about the others.
-const LEAST_FRESHNESS: f64 = 0.5;
+/// Lower bound for the divisor of the mean load: below this total freshness, the views say too little about the load of
+/// upstreams that have no fresh view.
+const MIN_FRESHNESS: f64 = 0.5;
 
-/// What one more request in an engine's batch costs, as part of a turn's time for each request that runs there: a step
-/// takes some half a hundredth longer for it. Views of loads are old and poor where there are many entries, so that
-/// a dearer batch moves turns away from their cached prompts for nothing (the paired runs stand in
-/// docs/design/urgency.md).
-const BATCH_SHARE: f64 = 0.0045;
+/// Cost of one more request in an engine's batch, as a share of a turn's time for each request that runs there: an
+/// engine step takes about 0.5 % longer for each request in the batch. Load views are old and imprecise where there are
+/// many entries, so a higher cost would move turns away from their cached prompts without benefit (the paired runs are
+/// in docs/design/urgency.md).
+const BATCH_SLOWDOWN: f64 = 0.0045;
 
-/// Time for which a keeper must have been told of what begins before its word on the load is taken alone: the longest
-/// turns last as long.
-const LOAD_INFORMED: Duration = Duration::from_secs(3);
+/// Time for which a keeper must have received run starts before its reported load replaces the local view: the longest
+/// turns take about that long.
+const LOAD_OBSERVATION_TIME: Duration = Duration::from_secs(3);
 
-/// Time for which it must have been told before its word on what is cached is taken alone: parts that are used again
-/// at all are used again within it.
-const CACHE_INFORMED: Duration = Duration::from_secs(15);
+/// Time for which a keeper must have received run starts before its view of the cache replaces the local view: prompt
+/// parts that are reused at all are reused within this time.
+const CACHE_OBSERVATION_TIME: Duration = Duration::from_secs(15);
 
-/// Part of the cost of reading a first part that is charged to the turn for which a home reads it: the turns after it
-/// have it for nothing. Charged in full, the few engines that have the part fill up before another one reads it.
-const HOME_READ_SHARE: f64 = 0.15;
+/// Share of the cost of processing a shared prefix that is charged to the turn for which a home engine first processes
+/// the prefix: later turns reuse it at no cost. If the full cost is charged, the few engines that have the prefix
+/// cached fill up before another engine processes it.
+const HOME_PREFILL_SHARE: f64 = 0.15;
 
-/// An upstream as a choice.
+/// An upstream that may be selected for a request, with what the selection depends on.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Candidate {
-    /// Requests that are thought to run or wait there.
+    /// Estimated number of requests that run or wait at the upstream.
     pub load: f64,
-    /// Requests that it runs at once.
+    /// Requests that the upstream runs concurrently.
     pub slots: f64,
-    /// Tokens of the prompt that it would have to read.
+    /// Prompt tokens that the upstream does not have cached and would have to process.
     pub uncached_tokens: u32,
-    /// Whether it stands in another failure domain.
-    pub elsewhere: bool,
-    /// Whether a connection to it is open and idle.
+    /// Whether the upstream is in another failure domain.
+    pub in_other_domain: bool,
+    /// Whether an idle connection to the upstream is open.
     pub connected: bool,
-    /// Time that is added while it warms up or is not trusted.
+    /// Expected extra time while the upstream warms up or is suspected of failing.
     pub penalty: Duration,
 }
 
-/// What an instance knows by itself of an upstream's load.
+/// An instance's own view of an upstream's load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadView {
-    /// Its own requests there.
+    /// Requests of this instance at the upstream.
     pub own: f64,
-    /// Others' requests, by the last answer.
+    /// Requests of other instances, according to the upstream's last response.
     pub others: f64,
-    /// How much that still says, from 0 to 1.
+    /// Weight of `others`, from 0 (outdated) to 1 (current).
     pub freshness: f64,
 }
 
-/// Returns the loads that upstreams of one service are thought to have.
+/// Returns the estimated loads of the upstreams of one service.
 ///
-/// What has faded is taken to be as with the others: an upstream that has not been heard of for a while isn't idle, and
-/// one that has just answered isn't left for it.
+/// The outdated share of a view is replaced by the mean over the other upstreams: an upstream without a recent response
+/// does not count as idle, and is not preferred to one that has just responded.
 #[must_use]
 pub fn estimate_loads(views: &[LoadView]) -> Vec<f64> {
     let known: f64 = views.iter().map(|view| view.freshness).sum();
     let others: f64 = views.iter().map(|view| view.others * view.freshness).sum();
-    let mean = others / known.max(LEAST_FRESHNESS);
+    let mean = others / known.max(MIN_FRESHNESS);
     let load = |view: &LoadView| {
-        let faded = 1.0 - view.freshness;
-        view.own + view.others * view.freshness + mean * faded
+        let outdated = 1.0 - view.freshness;
+        view.own + view.others * view.freshness + mean * outdated
     };
     views.iter().map(load).collect()
 }
 
-/// What is known of a request before it runs.
+/// Expected resource use of a request, known before it runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkEstimate {
-    /// How long it holds a slot, in milliseconds.
+    /// Time for which the request occupies a slot, in milliseconds.
     pub slot_milliseconds: f64,
-    /// Prompt tokens that an engine reads in a millisecond.
+    /// Prompt tokens that an engine processes per millisecond.
     pub prefill_rate: f64,
-    /// Whether an engine runs it in a batch with others.
+    /// Whether the request runs on an engine, in a batch with others.
     pub on_engine: bool,
 }
 
 impl Candidate {
-    /// Takes what a keeper tells of the upstream in place of this instance's own view; `own` is the requests of this
-    /// instance, of which the keeper may not have heard yet, and `home` tells whether the upstream is a home of the
-    /// prompt's first part.
+    /// Replaces this instance's own view of the upstream by a keeper's account of it.
+    ///
+    /// `own` is the number of requests of this instance, which the keeper may not have received yet; `home` is set if
+    /// the upstream is a home of the prompt's shared prefix.
     pub fn apply_account(&mut self, account: &UpstreamAccount, own: u32, home: bool) {
-        let told = f64::from(account.running.max(own));
-        self.load = if account.informed < LOAD_INFORMED {
-            self.load.max(told)
+        let reported = f64::from(account.running.max(own));
+        self.load = if account.informed < LOAD_OBSERVATION_TIME {
+            self.load.max(reported)
         } else {
-            told
+            reported
         };
         let uncached = if home {
-            account.uncached - spared_by_home(account.uncached_first)
+            account.uncached - uncharged_at_home(account.uncached_first)
         } else {
             account.uncached
         };
-        self.uncached_tokens = if account.informed < CACHE_INFORMED {
+        self.uncached_tokens = if account.informed < CACHE_OBSERVATION_TIME {
             self.uncached_tokens.min(uncached)
         } else {
             uncached
         };
     }
 
-    /// Returns what the request costs there, in milliseconds: its own expected time, and on an engine what it
-    /// costs the requests that run there.
+    /// Returns the cost of the request at this upstream, in milliseconds: the request's own expected time and, on an
+    /// engine, the delay that it causes for the requests that already run there.
     ///
-    /// An engine reads a prompt between the steps of its batch, so each request that runs waits meanwhile.
-    /// That is what makes a lost cache dearest where engines are nearly full.
+    /// An engine processes a prompt between the steps of its batch, so every running request waits meanwhile. A cache
+    /// miss is therefore most expensive on engines that are nearly full.
     #[must_use]
     pub fn cost(&self, work: &WorkEstimate) -> f64 {
         let slots = self.slots.max(1.0);
         let running = self.load.min(slots);
         let ahead = (self.load + 1.0 - slots).max(0.0);
         let queue = ahead * work.slot_milliseconds / slots;
-        let way = if self.elsewhere {
+        let domain_latency = if self.in_other_domain {
             OTHER_DOMAIN_MILLISECONDS
         } else {
             0.0
@@ -140,23 +143,23 @@
         } else {
             CONNECT_MILLISECONDS
         };
-        let read = f64::from(self.uncached_tokens) / work.prefill_rate.max(f64::MIN_POSITIVE);
-        let shared = if work.on_engine {
-            read * (1.0 + running) + BATCH_SHARE * work.slot_milliseconds * running
+        let prefill = f64::from(self.uncached_tokens) / work.prefill_rate.max(f64::MIN_POSITIVE);
+        let execution = if work.on_engine {
+            prefill * (1.0 + running) + BATCH_SLOWDOWN * work.slot_milliseconds * running
         } else {
-            PLAIN_SHARING * work.slot_milliseconds * running / slots
+            PLAIN_CONTENTION * work.slot_milliseconds * running / slots
         };
-        shared + queue + way + connection + self.penalty.as_secs_f64() * 1000.0
+        execution + queue + domain_latency + connection + self.penalty.as_secs_f64() * 1000.0
     }
 }
 
-/// Returns the tokens of a first part that a turn is not charged for where a home reads it.
+/// Returns the part of a shared prefix's tokens that is not charged to a turn if a home engine has to process them.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn spared_by_home(tokens: u32) -> u32 {
-    (f64::from(tokens) * (1.0 - HOME_READ_SHARE)) as u32
+fn uncharged_at_home(tokens: u32) -> u32 {
+    (f64::from(tokens) * (1.0 - HOME_PREFILL_SHARE)) as u32
 }
 
-/// Returns the index of the cheapest candidate; among equal ones the draw decides.
+/// Returns the index of the candidate with the least cost; `draw`, from 0 to 1, selects among candidates of equal cost.
 #[must_use]
 pub fn choose_upstream(candidates: &[Candidate], work: &WorkEstimate, draw: f64) -> Option<usize> {
     let costs: Vec<f64> = candidates
@@ -164,7 +167,7 @@
         .map(|candidate| candidate.cost(work))
         .collect();
     let least = costs.iter().copied().fold(f64::INFINITY, f64::min);
-    let equal: Vec<usize> = (0..costs.len())
+    let cheapest: Vec<usize> = (0..costs.len())
         .filter(|&index| costs[index] <= least + INDIFFERENCE_MILLISECONDS)
         .collect();
     #[allow(
@@ -172,8 +175,8 @@
         clippy::cast_precision_loss,
         clippy::cast_sign_loss
     )]
-    let position = (draw * equal.len() as f64) as usize;
-    equal
-        .get(position.min(equal.len().saturating_sub(1)))
+    let position = (draw * cheapest.len() as f64) as usize;
+    cheapest
+        .get(position.min(cheapest.len().saturating_sub(1)))
         .copied()
 }
--- a/crates/samphiregrade-gateway/src/upstream/breaker.rs
+++ b/crates/samphiregrade-gateway/src/upstream/breaker.rs
@@ -1,58 +1,60 @@
-//! When an upstream is left alone after failures, and tried again.
+//! Circuit breaker of an upstream: after failures, no requests are sent for a time, and then the upstream is tried
+//! again.
 
 use std::time::{Duration, Instant};
 
-/// Failures in a row after which an upstream is left alone: one may be an answer that was lost.
-const FAILURES_ALLOWED: u32 = 3;
+/// Consecutive failures after which the breaker opens: a single failure may be a lost response.
+const FAILURE_THRESHOLD: u32 = 3;
 
-/// First time for which it is left alone.
-const FIRST_REST: Duration = Duration::from_millis(400);
+/// Time for which the breaker first stays open.
+const FIRST_OPEN_TIME: Duration = Duration::from_millis(400);
 
-/// Longest such time: a restarted upstream is found again within it.
-const LONGEST_REST: Duration = Duration::from_secs(3);
+/// Longest time for which the breaker stays open: a restarted upstream is detected within this time.
+const MAX_OPEN_TIME: Duration = Duration::from_secs(3);
 
-/// What the breaker says about an upstream.
+/// State of the breaker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BreakerState {
-    /// Requests go there.
+    /// Requests are sent to the upstream.
     Closed,
-    /// It is left alone.
+    /// No requests are sent to the upstream.
     Open,
 }
 
-/// Failures in a row of an upstream.
+/// Circuit breaker, which counts an upstream's consecutive failures.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UpstreamBreaker {
     failures: u32,
-    rests: u32,
-    rest_until: Option<Instant>,
+    openings: u32,
+    open_until: Option<Instant>,
 }
 
 impl UpstreamBreaker {
-    /// Notes an answer; returns whether the breaker closed with it.
+    /// Records a success; returns whether this closed the breaker.
     pub fn record_success(&mut self) -> bool {
-        let was_open = self.rests > 0;
+        let was_open = self.openings > 0;
         *self = Self::default();
         was_open
     }
 
-    /// Notes a failure; `certain` where nobody listens. Returns whether the breaker opened with it.
+    /// Records a failure; returns whether this opened the breaker. `certain` is set if nothing listens at the address,
+    /// and opens the breaker at once.
     pub fn record_failure(&mut self, now: Instant, certain: bool) -> bool {
         self.failures += 1;
-        let tried_again = self.rests > 0 && self.state(now) == BreakerState::Closed;
-        if !certain && !tried_again && self.failures < FAILURES_ALLOWED {
+        let half_open = self.openings > 0 && self.state(now) == BreakerState::Closed;
+        if !certain && !half_open && self.failures < FAILURE_THRESHOLD {
             return false;
         }
-        let rest = FIRST_REST * 2_u32.saturating_pow(self.rests.min(8));
-        self.rests += 1;
-        self.rest_until = Some(now + rest.min(LONGEST_REST));
+        let open_time = FIRST_OPEN_TIME * 2_u32.saturating_pow(self.openings.min(8));
+        self.openings += 1;
+        self.open_until = Some(now + open_time.min(MAX_OPEN_TIME));
         true
     }
 
-    /// Returns what it says now.
+    /// Returns the state of the breaker.
     #[must_use]
     pub fn state(&self, now: Instant) -> BreakerState {
-        match self.rest_until {
+        match self.open_until {
             Some(until) if now < until => BreakerState::Open,
             _ => BreakerState::Closed,
         }
--- a/crates/samphiregrade-gateway/src/upstream/cache.rs
+++ b/crates/samphiregrade-gateway/src/upstream/cache.rs
@@ -1,17 +1,18 @@
-//! Which parts of prompts an engine is thought to have cached, from what was sent there.
+//! Estimate of the prompt parts that an engine has cached, derived from the prompts that were sent to the engine.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use crate::model::PromptPart;
 
-/// Share of an engine's memory that this instance's own view fills at most: the others send there too.
-const VIEW_SHARE: f64 = 0.5;
+/// Largest share of an engine's memory that this instance's own view assumes to be in use: other instances send prompts
+/// to the engine, too.
+const OWN_VIEW_SHARE: f64 = 0.5;
 
-/// Time after which an unused part counts as gone.
-const FORGET_AFTER: Duration = Duration::from_secs(30);
+/// Time after which an unused part counts as evicted.
+const EVICT_AFTER: Duration = Duration::from_secs(30);
 
-/// Parts that are remembered at most before old ones are looked for.
+/// Number of tracked parts above which the oldest ones are dropped.
 const PART_LIMIT: usize = 4096;
 
 #[derive(Clone, Copy, Debug)]
@@ -20,23 +21,23 @@
     used: Instant,
 }
 
-/// One engine's cache, as this instance sees it.
+/// This instance's estimate of one engine's cache.
 #[derive(Clone, Debug)]
 pub struct PrefixCache {
     parts: HashMap<u64, CachedPart>,
     tokens: u64,
-    /// Share of the engine's memory that the view fills at most.
+    /// Largest share of the engine's memory that the view fills.
     share: f64,
 }
 
 impl Default for PrefixCache {
     fn default() -> Self {
-        Self::with_share(VIEW_SHARE)
+        Self::with_share(OWN_VIEW_SHARE)
     }
 }
 
 impl PrefixCache {
-    /// Makes an empty view that fills a share of the engine's memory at most.
+    /// Returns an empty view that fills at most a share of the engine's memory.
     #[must_use]
     pub fn with_share(share: f64) -> Self {
         Self {
@@ -46,30 +47,31 @@
         }
     }
 
-    /// Returns the tokens of the prompt that are not thought to be cached; those of the first part are where the
-    /// engine is its home, since others send it there.
+    /// Returns the number of prompt tokens that are estimated not to be cached.
+    ///
+    /// If the engine is a home of the prompt, the first part counts as cached, since other instances send it there.
     #[must_use]
     pub fn uncached(&self, prompt: &[PromptPart], home: bool, now: Instant) -> u32 {
         let mut uncached = 0;
-        let mut whole = true;
-        let rest = if home {
+        let mut unbroken = true;
+        let remaining = if home {
             prompt.get(1..).unwrap_or_default()
         } else {
             prompt
         };
-        for part in rest {
-            let known = self.parts.get(&part.tag).filter(|_| whole);
+        for part in remaining {
+            let known = self.parts.get(&part.tag).filter(|_| unbroken);
             let fresh =
-                known.filter(|known| now.saturating_duration_since(known.used) < FORGET_AFTER);
+                known.filter(|known| now.saturating_duration_since(known.used) < EVICT_AFTER);
             let cached = fresh.map_or(0, |known| known.tokens.min(part.tokens));
             uncached += part.tokens - cached;
-            whole &= cached == part.tokens;
+            unbroken &= cached == part.tokens;
         }
         uncached
     }
 
-    /// Notes that an engine has read a prompt.
-    pub fn note(&mut self, prompt: &[PromptPart], capacity: u64, now: Instant) {
+    /// Records that the engine has processed a prompt.
+    pub fn record(&mut self, prompt: &[PromptPart], capacity: u64, now: Instant) {
         for part in prompt {
             let known = self.parts.insert(
                 part.tag,
@@ -86,13 +88,13 @@
             clippy::cast_precision_loss,
             clippy::cast_sign_loss
         )]
-        let most = (capacity as f64 * self.share) as u64;
-        if self.tokens > most || self.parts.len() > PART_LIMIT {
-            self.forget_oldest(most);
+        let max_tokens = (capacity as f64 * self.share) as u64;
+        if self.tokens > max_tokens || self.parts.len() > PART_LIMIT {
+            self.evict_oldest(max_tokens);
         }
     }
 
-    fn forget_oldest(&mut self, most: u64) {
+    fn evict_oldest(&mut self, max_tokens: u64) {
         let mut by_age: Vec<(Instant, u64)> = self
             .parts
             .iter()
@@ -100,8 +102,8 @@
             .collect();
         by_age.sort_unstable();
         for (_, tag) in by_age {
-            // Leave some room, so that this is not done for every request.
-            if self.tokens <= most / 8 * 7 && self.parts.len() <= PART_LIMIT / 8 * 7 {
+            // Evicts down to 7/8 of the limits, so that the next requests don't evict again.
+            if self.tokens <= max_tokens / 8 * 7 && self.parts.len() <= PART_LIMIT / 8 * 7 {
                 return;
             }
             if let Some(part) = self.parts.remove(&tag) {
--- a/crates/samphiregrade-gateway/src/upstream/directory.rs
+++ b/crates/samphiregrade-gateway/src/upstream/directory.rs
@@ -1,4 +1,4 @@
-//! Who serves what, as the platform's key-value service tells it.
+//! Directory of the upstreams of each service, built from the records in the platform's key-value service.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,40 +7,40 @@
 use arc_swap::ArcSwap;
 use serde::Serialize;
 
-use super::peer::{DomainSilence, Upstream};
+use super::peer::{DomainMonitor, Upstream};
 use crate::model::{
     DomainId, ServiceName, UpstreamId, UpstreamRecord, UpstreamStart, UpstreamState,
 };
 use crate::observe::Logbook;
 
-/// Time after the key-value service's return within which lapsed entries come back: they are back within
-/// about two seconds.
+/// Time after an outage of the key-value service within which upstreams whose records have expired register again: all
+/// are back within about two seconds.
 pub const REREGISTRATION_TIME: Duration = Duration::from_millis(2200);
 
-/// Part of the time for draining for which an upstream without an entry may still be used as a last resort.
+/// Share of the drain time for which an upstream without a record may still be used as a last resort.
 const DEPARTURE_SHARE: f64 = 0.5;
 
-/// How long an upstream is kept after its entry has gone.
+/// How long an upstream is kept after its record was removed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DepartureRule {
-    /// While the key-value service is steady.
-    pub steady: Duration,
-    /// After an outage of it.
-    pub unsettled: Duration,
+    /// Delay while the key-value service is available.
+    pub normal_delay: Duration,
+    /// Delay after an outage of the key-value service.
+    pub outage_delay: Duration,
 }
 
 impl DepartureRule {
-    /// Makes the rule for the time within which an upstream that leaves must get nothing more.
+    /// Returns the rule for a drain time, after which an upstream that leaves must not receive requests any more.
     #[must_use]
     pub fn for_drain(drain: Duration) -> Self {
         Self {
-            steady: drain.mul_f64(DEPARTURE_SHARE),
-            unsettled: REREGISTRATION_TIME,
+            normal_delay: drain.mul_f64(DEPARTURE_SHARE),
+            outage_delay: REREGISTRATION_TIME,
         }
     }
 }
 
-/// The upstreams of each service, as they are at one moment.
+/// Snapshot of the upstreams of each service.
 #[derive(Default)]
 pub struct UpstreamDirectory {
     services: HashMap<ServiceName, Vec<Arc<Upstream>>>,
@@ -53,7 +53,7 @@
         self.services.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns all upstreams.
+    /// Returns the upstreams of all services.
     pub fn all(&self) -> impl Iterator<Item = &Arc<Upstream>> {
         self.services.values().flatten()
     }
@@ -70,21 +70,21 @@
 
 struct Departure {
     id: UpstreamId,
-    at: Instant,
+    drop_at: Instant,
 }
 
-/// Keeps the directory up to date. One task owns it; requests read the directory.
+/// Keeps the directory up to date. A single task owns the registry; requests read the directory.
 pub struct UpstreamRegistry {
     directory: Arc<ArcSwap<UpstreamDirectory>>,
     known: HashMap<UpstreamId, Arc<Upstream>>,
-    domains: HashMap<DomainId, Arc<DomainSilence>>,
+    domains: HashMap<DomainId, Arc<DomainMonitor>>,
     departures: Vec<Departure>,
     rule: DepartureRule,
-    unsettled_until: Option<Instant>,
+    recovering_until: Option<Instant>,
 }
 
 impl UpstreamRegistry {
-    /// Makes an empty registry.
+    /// Returns an empty registry.
     #[must_use]
     pub fn new(rule: DepartureRule) -> Self {
         Self {
@@ -93,7 +93,7 @@
             domains: HashMap::new(),
             departures: Vec::new(),
             rule,
-            unsettled_until: None,
+            recovering_until: None,
         }
     }
 
@@ -103,18 +103,18 @@
         self.directory.clone()
     }
 
-    /// Notes that the key-value service has been unreachable until now.
+    /// Records that the key-value service has been unavailable until now, and postpones pending removals.
     pub fn record_store_outage(&mut self, now: Instant) {
-        self.unsettled_until = Some(now + REREGISTRATION_TIME);
+        self.recovering_until = Some(now + REREGISTRATION_TIME);
         for departure in &mut self.departures {
-            departure.at = departure.at.max(now + self.rule.unsettled);
+            departure.drop_at = departure.drop_at.max(now + self.rule.outage_delay);
         }
     }
 
-    /// Takes an entry.
+    /// Applies an upstream's record.
     ///
-    /// One that describes another start of a known upstream makes it a new one, of which nothing is known; one that
-    /// describes a start that is over comes too late and says nothing.
+    /// A record of another start of a known upstream replaces the upstream with a new one, of which nothing is known
+    /// yet. A record of an earlier start is outdated and ignored.
     pub fn put(&mut self, record: UpstreamRecord, now: Instant) {
         let Some(known) = self.known.get(&record.id) else {
             log_upstream("upstream-added", &record);
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Starts to keep track of an upstream, in place of a known one with its id.
+    /// Adds an upstream, replacing a known one with the same id.
     fn add(&mut self, record: UpstreamRecord, now: Instant) {
         let domain = self.domains.entry(record.domain.clone()).or_default();
         let draining = record.state == UpstreamState::Draining;
@@ -157,8 +157,8 @@
         self.publish();
     }
 
-    /// Notes that an entry can't be read any more: it names no upstream to use, whoever wrote it. A readable one brings
-    /// the upstream back.
+    /// Takes an upstream out of use whose record can't be decoded any more, whoever wrote the record. A valid record
+    /// brings the upstream back.
     pub fn reject(&mut self, id: &UpstreamId, now: Instant) {
         let Some(upstream) = self.known.get(id) else {
             return;
@@ -167,7 +167,7 @@
         self.remove(id, now);
     }
 
-    /// Notes that an entry is gone.
+    /// Marks an upstream as departed whose record was removed, and schedules dropping it.
     pub fn remove(&mut self, id: &UpstreamId, now: Instant) {
         let Some(upstream) = self.known.get(id) else {
             return;
@@ -176,44 +176,45 @@
             return;
         }
         upstream.set_departed(true);
-        let unsettled = self.unsettled_until.is_some_and(|until| now < until);
-        let wait = if unsettled {
-            self.rule.unsettled
+        let recovering = self.recovering_until.is_some_and(|until| now < until);
+        let delay = if recovering {
+            self.rule.outage_delay
         } else {
-            self.rule.steady
+            self.rule.normal_delay
         };
         log_upstream("upstream-entry-gone", &upstream.record);
         self.departures.push(Departure {
             id: id.clone(),
-            at: now + wait,
+            drop_at: now + delay,
         });
     }
 
-    /// Takes all entries as they are: those that are missing are gone. Those that can't be read are rejected before.
-    pub fn replace(&mut self, entries: Vec<UpstreamRecord>, now: Instant) {
+    /// Applies the complete set of records: upstreams without a record are removed. Records that can't be decoded are
+    /// passed to `reject` before.
+    pub fn replace(&mut self, records: Vec<UpstreamRecord>, now: Instant) {
         let missing: Vec<UpstreamId> = self
             .known
             .keys()
-            .filter(|id| !entries.iter().any(|record| record.id == **id))
+            .filter(|id| !records.iter().any(|record| record.id == **id))
             .cloned()
             .collect();
         for id in missing {
             self.remove(&id, now);
         }
-        for record in entries {
+        for record in records {
             self.put(record, now);
         }
     }
 
-    /// Drops upstreams whose time has come; returns when to look again.
+    /// Drops departed upstreams whose delay has passed; returns when to call this method again.
     pub fn drop_departed(&mut self, now: Instant) -> Option<Instant> {
         let due: Vec<UpstreamId> = self
             .departures
             .iter()
-            .filter(|departure| departure.at <= now)
+            .filter(|departure| departure.drop_at <= now)
             .map(|departure| departure.id.clone())
             .collect();
-        self.departures.retain(|departure| departure.at > now);
+        self.departures.retain(|departure| departure.drop_at > now);
         for id in &due {
             if let Some(upstream) = self.known.remove(id) {
                 upstream.set_draining(true);
@@ -223,7 +224,10 @@
         if !due.is_empty() {
             self.publish();
         }
-        self.departures.iter().map(|departure| departure.at).min()
+        self.departures
+            .iter()
+            .map(|departure| departure.drop_at)
+            .min()
     }
 
     fn publish(&self) {
--- a/crates/samphiregrade-gateway/src/upstream/homes.rs
+++ b/crates/samphiregrade-gateway/src/upstream/homes.rs
@@ -1,10 +1,9 @@
-//! Which engines are the homes of a shared first part of prompts, the same for all entries without a word
-//! between them: pure.
+//! Assigns home engines to shared prompt prefixes, identically on all entries without coordination: pure.
 //!
-//! Answers the pattern of many entries that send prompts with a few long first parts to engines that can't
-//! hold all of these: each entry sees too few requests to know what the others have sent where, so every
-//! engine is sent every first part and none stays cached. Homes are drawn by hash, as many for each part as
-//! its share of the requests needs.
+//! Handles many entries that send prompts with a few long shared prefixes to engines that can't cache all of these.
+//! Each entry sees too few requests to know which prefixes the other entries have sent to which engine, so every engine
+//! would receive every prefix and none would stay cached. Homes are selected by hash; their number for each prefix
+//! follows from the prefix's share of the requests.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -15,63 +14,66 @@
 
 use crate::mix::hash_pair;
 
-/// Time after which an earlier request counts half: a burst of one kind of prompt is noticed within seconds.
+/// Half-life of a counted request: a burst of one kind of prompt takes effect within seconds.
 const COUNT_HALF_LIFE: Duration = Duration::from_secs(8);
 
-/// Least homes for each engine that a part's share comes to: room for uneven load.
-const LEAST_SPREAD: f64 = 1.5;
+/// Lower bound for the number of homes of a prefix, as a multiple of the engines that its share of the requests
+/// corresponds to: headroom for uneven load.
+const MIN_SPREAD: f64 = 1.5;
 
-/// Most homes for each engine that a part's share comes to. With three times the least, a doubled burst on 49 engines
-/// puts 1.2 times the mean on the busiest one, in place of 1.3.
-const MOST_SPREAD: f64 = 4.5;
+/// Upper bound for the number of homes of a prefix, as a multiple of the engines that its share of the requests
+/// corresponds to. With three times the lower bound, a doubled burst on 49 engines puts 1.2 times the mean load on the
+/// busiest one, instead of 1.3 times.
+const MAX_SPREAD: f64 = 4.5;
 
-/// Share of an engine's memory that first parts may fill: the programs' own parts and what runs need the rest.
+/// Share of an engine's memory that shared prefixes may fill: the remaining prompt parts of programs and running
+/// requests need the rest.
 const MEMORY_SHARE: f64 = 0.3;
 
-/// Least homes of a part: one may be lost.
-const LEAST_HOMES: usize = 2;
+/// Minimum number of homes of a prefix, so that one engine may fail.
+const MIN_HOMES: usize = 2;
 
-/// Parts that are counted at most; a part that is the program's own is seen once or twice and forgotten.
-const PART_LIMIT: usize = 512;
+/// Maximum number of counted prefixes; a prefix that only one program uses is seen once or twice and dropped.
+const PREFIX_LIMIT: usize = 512;
 
-/// Share below which a part has no homes: it is a program's own.
-const LEAST_SHARE: f64 = 0.01;
+/// Share of the requests below which a prefix has no homes: only one program uses it.
+const MIN_SHARE: f64 = 0.01;
 
 #[derive(Debug, Default)]
-struct PartCounts {
+struct PrefixCounts {
     counts: HashMap<u64, f64>,
     total: f64,
-    faded: Option<Instant>,
+    decayed_at: Option<Instant>,
 }
 
-/// How often first parts of prompts are seen.
+/// Counts how often each prompt prefix occurs.
 #[derive(Debug, Default)]
 pub struct PrefixShares {
-    state: Mutex<PartCounts>,
+    state: Mutex<PrefixCounts>,
 }
 
 impl PrefixShares {
-    /// Counts a request; returns its first part's share of the requests.
-    pub fn count(&self, part: u64, now: Instant) -> f64 {
+    /// Counts a request; returns its prefix's share of all requests.
+    pub fn count(&self, prefix: u64, now: Instant) -> f64 {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.fade(now);
+        state.decay(now);
         state.total += 1.0;
-        let count = state.counts.entry(part).or_default();
+        let count = state.counts.entry(prefix).or_default();
         *count += 1.0;
         *count / state.total
     }
 }
 
-impl PartCounts {
-    /// Lets earlier requests count less, once a second.
-    fn fade(&mut self, now: Instant) {
-        let since = *self.faded.get_or_insert(now);
+impl PrefixCounts {
+    /// Decays the counts of earlier requests, once a second.
+    fn decay(&mut self, now: Instant) {
+        let since = *self.decayed_at.get_or_insert(now);
         let age = now.saturating_duration_since(since);
-        if age < Duration::from_secs(1) && self.counts.len() < PART_LIMIT {
+        if age < Duration::from_secs(1) && self.counts.len() < PREFIX_LIMIT {
             return;
         }
         let factor = 0.5_f64.powf(age.as_secs_f64() / COUNT_HALF_LIFE.as_secs_f64());
-        self.faded = Some(now);
+        self.decayed_at = Some(now);
         for count in self.counts.values_mut() {
             *count *= factor;
         }
@@ -80,12 +82,12 @@
     }
 }
 
-/// Engines in the order in which they are homes of a part.
+/// Engines in the order in which they are homes of a prefix.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct HomeRanking {
-    /// Indices of the engines, the first home first.
+    /// Indices of the engines; the homes come first.
     pub order: Vec<usize>,
-    /// How many of them are homes.
+    /// Number of engines at the start of `order` that are homes.
     pub count: usize,
 }
 
@@ -96,39 +98,39 @@
         &self.order[..self.count]
     }
 
-    /// Draws some of the homes, and returns them with the engines that come next in the order.
+    /// Returns up to `spares` engines that follow the homes in the order, and up to `homes` randomly selected homes.
     pub fn sample<Source>(mut self, homes: usize, spares: usize, source: &mut Source) -> Vec<usize>
     where
         Source: Rng,
     {
         let mut sample = self.order.split_off(self.count);
         sample.truncate(spares);
-        let (drawn, _) = self.order.partial_shuffle(source, homes);
-        sample.extend_from_slice(drawn);
+        let (selected, _) = self.order.partial_shuffle(source, homes);
+        sample.extend_from_slice(selected);
         sample
     }
 }
 
-/// A first part of prompts that needs homes.
+/// A shared prompt prefix that needs homes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SharedPrefix {
-    /// Its tag.
+    /// Hash of the prefix's id.
     pub tag: u64,
-    /// Its tokens.
+    /// Tokens of the prefix.
     pub tokens: u32,
-    /// Its share of the requests.
+    /// The prefix's share of the requests.
     pub share: f64,
     /// Tokens that an engine's memory holds.
     pub capacity: u64,
 }
 
 impl SharedPrefix {
-    /// Returns the homes for each engine that the part's share comes to: as many as engines' memory allows, so that load
-    /// can be spread.
+    /// Returns the number of homes as a multiple of the engines that the prefix's share of the requests corresponds to:
+    /// as many as the engines' memory allows, so that load can be spread.
     #[allow(clippy::cast_precision_loss)]
     fn spread(&self) -> f64 {
         let room = self.capacity as f64 * MEMORY_SHARE;
-        (room / f64::from(self.tokens.max(1))).clamp(LEAST_SPREAD, MOST_SPREAD)
+        (room / f64::from(self.tokens.max(1))).clamp(MIN_SPREAD, MAX_SPREAD)
     }
 
     #[allow(
@@ -137,21 +139,21 @@
         clippy::cast_sign_loss
     )]
     fn wanted_homes(&self, engines: usize) -> usize {
-        if self.share < LEAST_SHARE {
+        if self.share < MIN_SHARE {
             return 0;
         }
         let wanted = (engines as f64 * self.share * self.spread()).ceil() as usize;
-        wanted.clamp(LEAST_HOMES.min(engines), engines)
+        wanted.clamp(MIN_HOMES.min(engines), engines)
     }
 }
 
-/// Ranks engines as homes of a part; a part with too small a share of the requests has none.
+/// Ranks engines as homes of a prefix. A prefix with too small a share of the requests has no homes.
 #[must_use]
-pub fn rank_homes(part: &SharedPrefix, engines: &[u64]) -> HomeRanking {
+pub fn rank_homes(prefix: &SharedPrefix, engines: &[u64]) -> HomeRanking {
     let mut order: Vec<usize> = (0..engines.len()).collect();
-    order.sort_unstable_by_key(|&index| std::cmp::Reverse(hash_pair(part.tag, engines[index])));
+    order.sort_unstable_by_key(|&index| std::cmp::Reverse(hash_pair(prefix.tag, engines[index])));
     HomeRanking {
-        count: part.wanted_homes(engines.len()),
+        count: prefix.wanted_homes(engines.len()),
         order,
     }
 }
--- a/crates/samphiregrade-gateway/src/upstream/mod.rs
+++ b/crates/samphiregrade-gateway/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Upstreams as this instance sees them: who is there, how loaded, what they have cached.
+//! Upstreams as this instance sees them: which ones are registered, their load, and what they have cached.
 
 mod balance;
 mod breaker;
@@ -20,8 +20,8 @@
 pub use homes::{HomeRanking, PrefixShares, SharedPrefix, rank_homes};
 pub use outcome_board::OutcomeTracker;
 pub use outcomes::{Outcome, OutcomeCounts, OutcomeDelta, OutcomeTable, UpstreamSuspect};
-pub use peer::{DomainSilence, HeadWait, InFlightGuard, PathProbe, Upstream};
+pub use peer::{DomainMonitor, HeadWait, InFlightGuard, PathProbe, Upstream};
 pub use rank::{ProgramProgress, TurnPace, UrgencyClass, turn_rank};
 pub use run_table::{AccountQuery, RunEnd, RunNumber, RunStart, RunTable, UpstreamAccount};
 pub use service_times::{AnsweredRequest, RunningMedian, ServiceTimes};
-pub use silence::{SilenceWatch, WaitNumber};
+pub use silence::{ResponseMonitor, WaitNumber};
--- a/crates/samphiregrade-gateway/src/upstream/outcome_board.rs
+++ b/crates/samphiregrade-gateway/src/upstream/outcome_board.rs
@@ -1,4 +1,5 @@
-//! An entry's account of outcomes at upstreams: its own, what the keepers tell, and what they have not heard yet.
+//! An entry's success and failure counts for each upstream: combines its own outcomes with the counts that keepers
+//! report, and queues its outcomes for the keepers.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Mutex;
@@ -12,30 +13,30 @@
 use crate::model::UpstreamTag;
 use crate::observe::Logbook;
 
-/// Outcomes that wait to be told at most; a keeper that has been away misses the older ones.
-const UNTOLD_LIMIT: usize = 512;
+/// Maximum number of queued outcomes; a keeper that has been unreachable misses the older ones.
+const UNREPORTED_LIMIT: usize = 512;
 
-/// Upstreams that are told of in one message at most.
+/// Maximum number of upstreams in one report.
 const MESSAGE_LIMIT: usize = 32;
 
-/// Share of what is known here that a keeper has to know before its account takes the place of it: one that has just
-/// started knows nothing yet.
-const INFORMED_SHARE: f64 = 0.5;
+/// Share of the locally known outcomes that a keeper must know before its counts replace the local ones: a keeper that
+/// has just started knows nothing yet.
+const MIN_KNOWN_SHARE: f64 = 0.5;
 
-/// Time within which the leave to probe is used or lost.
-const PROBE_LEAVE: Duration = Duration::from_secs(1);
+/// Time after which an unused probe permit expires.
+const PERMIT_LIFETIME: Duration = Duration::from_secs(1);
 
 type OutcomeNumber = u64;
 
 #[derive(Debug, Default)]
-struct BoardState {
+struct TrackerState {
     counts: HashMap<UpstreamTag, OutcomeCounts>,
-    untold: VecDeque<OutcomeDelta>,
-    /// Number of the outcome after the last one.
-    next: OutcomeNumber,
-    /// Number up to which each keeper was told.
-    told: HashMap<SmolStr, OutcomeNumber>,
-    leaves: HashMap<UpstreamTag, Instant>,
+    unreported: VecDeque<OutcomeDelta>,
+    /// Sequence number of the next outcome.
+    next_number: OutcomeNumber,
+    /// Sequence number up to which outcomes were reported to each keeper.
+    reported: HashMap<SmolStr, OutcomeNumber>,
+    probe_permits: HashMap<UpstreamTag, Instant>,
 }
 
 #[derive(Serialize)]
@@ -46,34 +47,37 @@
     outcomes: f64,
 }
 
-/// The account; one for each entry.
+/// Tracks outcomes at upstreams; each entry has one instance.
 #[derive(Debug, Default)]
 pub struct OutcomeTracker {
-    state: Mutex<BoardState>,
+    state: Mutex<TrackerState>,
 }
 
 impl OutcomeTracker {
-    /// Notes how a request ended.
+    /// Records the outcome of a request.
     pub fn note(&self, upstream: UpstreamTag, outcome: Outcome, now: Instant) {
         let delta = OutcomeDelta::of(upstream, outcome);
         let mut state = lock_ignoring_poison(&self.state);
         state.change(upstream, now, |counts| counts.add(&delta, now));
-        state.next += 1;
-        state.untold.push_back(delta);
-        if state.untold.len() > UNTOLD_LIMIT {
-            state.untold.pop_front();
+        state.next_number += 1;
+        state.unreported.push_back(delta);
+        if state.unreported.len() > UNREPORTED_LIMIT {
+            state.unreported.pop_front();
         }
     }
 
-    /// Returns what a keeper has not been told yet, which counts as told with it.
+    /// Returns the outcomes that were not reported to a keeper yet, and marks them as reported.
     #[must_use]
     pub fn take_unreported(&self, keeper: &SmolStr) -> Vec<OutcomeDelta> {
         let mut state = lock_ignoring_poison(&self.state);
-        let next = state.next;
-        let told = state.told.insert(keeper.clone(), next).unwrap_or(0);
-        let waiting = usize::try_from(next - told).unwrap_or(usize::MAX);
+        let next_number = state.next_number;
+        let reported = state
+            .reported
+            .insert(keeper.clone(), next_number)
+            .unwrap_or(0);
+        let pending = usize::try_from(next_number - reported).unwrap_or(usize::MAX);
         let mut deltas: Vec<OutcomeDelta> = Vec::new();
-        for outcome in state.untold.iter().rev().take(waiting) {
+        for outcome in state.unreported.iter().rev().take(pending) {
             let same = |delta: &OutcomeDelta| delta.upstream == outcome.upstream;
             if let Some(index) = deltas.iter().position(same) {
                 deltas[index].add(outcome);
@@ -86,26 +90,26 @@
         deltas
     }
 
-    /// Takes what a keeper tells.
+    /// Merges the counts that a keeper reports.
     pub fn merge_suspects(&self, suspects: &[UpstreamSuspect], now: Instant) {
         if suspects.is_empty() {
             return;
         }
         let mut state = lock_ignoring_poison(&self.state);
         for suspect in suspects {
-            let told = OutcomeCounts::told(suspect, now);
+            let reported = OutcomeCounts::from_report(suspect, now);
             state.change(suspect.upstream, now, |counts| {
-                if told.total() >= counts.faded(now).total() * INFORMED_SHARE {
-                    *counts = told;
+                if reported.total() >= counts.decayed(now).total() * MIN_KNOWN_SHARE {
+                    *counts = reported;
                 }
             });
             if suspect.may_probe {
-                state.leaves.insert(suspect.upstream, now);
+                state.probe_permits.insert(suspect.upstream, now);
             }
         }
     }
 
-    /// Returns the time that a request is to be expected to lose at an upstream.
+    /// Returns the time that a request is expected to lose at an upstream.
     #[must_use]
     pub fn penalty(&self, upstream: UpstreamTag, repeatable: bool, now: Instant) -> Duration {
         let state = lock_ignoring_poison(&self.state);
@@ -113,32 +117,34 @@
         counts.map_or(Duration::ZERO, |counts| counts.penalty(repeatable, now))
     }
 
-    /// Uses the leave to probe an upstream; returns whether there was one.
+    /// Consumes the permit to probe an upstream; returns whether there was a valid one.
     #[must_use]
     pub fn take_probe_permit(&self, upstream: UpstreamTag, now: Instant) -> bool {
-        let given = lock_ignoring_poison(&self.state).leaves.remove(&upstream);
-        given.is_some_and(|given| now.saturating_duration_since(given) < PROBE_LEAVE)
+        let granted = lock_ignoring_poison(&self.state)
+            .probe_permits
+            .remove(&upstream);
+        granted.is_some_and(|granted| now.saturating_duration_since(granted) < PERMIT_LIFETIME)
     }
 
-    /// Returns whether any leave to probe is open.
+    /// Returns whether any probe permit is available.
     #[must_use]
     pub fn has_probe_permit(&self) -> bool {
-        !lock_ignoring_poison(&self.state).leaves.is_empty()
+        !lock_ignoring_poison(&self.state).probe_permits.is_empty()
     }
 
-    /// Forgets the upstreams that are not known any more.
+    /// Drops the state of upstreams that are not known any more.
     pub fn keep_only<Choice>(&self, known: Choice)
     where
         Choice: Fn(UpstreamTag) -> bool,
     {
         let mut state = lock_ignoring_poison(&self.state);
         state.counts.retain(|tag, _| known(*tag));
-        state.leaves.retain(|tag, _| known(*tag));
+        state.probe_permits.retain(|tag, _| known(*tag));
     }
 }
 
-impl BoardState {
-    /// Changes an upstream's counts, and logs where it begins or ceases to be doubted with it.
+impl TrackerState {
+    /// Changes an upstream's counts, and logs if this changes whether the upstream is suspected of failing.
     fn change<Change>(&mut self, upstream: UpstreamTag, now: Instant, change: Change)
     where
         Change: FnOnce(&mut OutcomeCounts),
@@ -157,7 +163,7 @@
             upstream_tag: format!("{upstream:016x}"),
             doubted,
             failure_share: counts.failure_share(now),
-            outcomes: counts.faded(now).total(),
+            outcomes: counts.decayed(now).total(),
         };
         Logbook::global().record("upstream-doubt", &line);
     }
--- a/crates/samphiregrade-gateway/src/upstream/peer.rs
+++ b/crates/samphiregrade-gateway/src/upstream/peer.rs
@@ -1,4 +1,4 @@
-//! One upstream: its connections, its load, its breaker and its cache.
+//! State of one upstream: connections, load, circuit breaker and cache estimate.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -12,38 +12,39 @@
 use super::cache::PrefixCache;
 use super::outcome_board::OutcomeTracker;
 use super::outcomes::Outcome;
-use super::silence::{SilenceWatch, WaitNumber};
+use super::silence::{ResponseMonitor, WaitNumber};
 use crate::hold::lock_ignoring_poison;
 use crate::model::{DomainId, PromptPart, ReportedLoad, UpstreamRecord, UpstreamTag, name_tag};
 
-/// Age at which a reported load counts half: requests last some hundreds of milliseconds.
+/// Half-life of a reported load: requests last some hundreds of milliseconds.
 const LOAD_HALF_LIFE: Duration = Duration::from_millis(250);
 
-/// Longest time an idle connection is kept where the upstream allows more.
-const LONGEST_IDLE: Duration = Duration::from_secs(8);
+/// Longest time for which an idle connection is kept, even if the upstream allows more.
+const MAX_IDLE: Duration = Duration::from_secs(8);
 
-/// Longest time an idle connection is used again where the upstream says nothing about it.
-const UNSTATED_IDLE: Duration = Duration::from_millis(400);
+/// Longest time for which an idle connection is reused if the upstream states no idle timeout.
+const DEFAULT_IDLE: Duration = Duration::from_millis(400);
 
-/// Part of the stated idle time after which a connection is not used again: its end may cross a request.
+/// Share of the stated idle timeout after which a connection is not reused: the upstream may close the connection while
+/// a request is on its way.
 const IDLE_MARGIN: f64 = 0.7;
 
-/// Penalty of an upstream that still warms up.
+/// Penalty of an upstream that is still warming up.
 const COLD_PENALTY: Duration = Duration::from_millis(30);
 
-/// Penalty of an upstream whose record has just gone: used only where no other is there.
+/// Penalty of an upstream whose record was removed: it is used only if no other upstream is available.
 const DEPARTED_PENALTY: Duration = Duration::from_secs(10);
 
-/// Longest wait for a connection to an upstream: dozens of round trips within a region. A packet that is lost
-/// comes again after seconds only, so that another upstream is tried before.
+/// Timeout for connecting to an upstream: dozens of round trips within a region. A lost packet is retransmitted only
+/// after seconds, so another upstream is tried first.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// What a try says about the way to an upstream.
+/// Result of a connection attempt that probes the network path to an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PathProbe {
-    /// Its system has answered.
+    /// The upstream's host responded.
     Answered,
-    /// Nothing came back.
+    /// No response arrived.
     Silent,
 }
 
@@ -59,13 +60,13 @@
     at: Instant,
 }
 
-/// An upstream.
+/// An upstream, shared by all requests of this instance.
 pub struct Upstream {
-    /// Its record, as it was first seen.
+    /// The upstream's record, as first received.
     pub record: UpstreamRecord,
-    /// Hash of its address, the same on every instance and over restarts.
+    /// Hash of the upstream's address, the same on every instance and over restarts.
     pub tag: u64,
-    /// Hash of this start of it.
+    /// Hash of this start of the upstream.
     pub start_tag: UpstreamTag,
     draining: AtomicBool,
     departed: AtomicBool,
@@ -75,17 +76,18 @@
     idle: Mutex<Vec<IdleSocket>>,
     breaker: Mutex<UpstreamBreaker>,
     cache: Mutex<PrefixCache>,
-    silence: Mutex<SilenceWatch>,
-    domain_silence: Arc<DomainSilence>,
+    monitor: Mutex<ResponseMonitor>,
+    domain_monitor: Arc<DomainMonitor>,
 }
 
-/// Silence of all upstreams of a failure domain together: the way there may be cut.
-pub type DomainSilence = Mutex<SilenceWatch>;
+/// Response monitor that all upstreams of a failure domain share: if none of them responds, the network path to the
+/// domain may be interrupted.
+pub type DomainMonitor = Mutex<ResponseMonitor>;
 
 impl Upstream {
-    /// Starts to keep track of an upstream.
+    /// Returns the initial state of an upstream.
     #[must_use]
-    pub fn new(record: UpstreamRecord, domain_silence: Arc<DomainSilence>, now: Instant) -> Self {
+    pub fn new(record: UpstreamRecord, domain_monitor: Arc<DomainMonitor>, now: Instant) -> Self {
         Self {
             cold_until: now + record.cold,
             tag: name_tag(&record.address.to_string()),
@@ -101,35 +103,35 @@
             idle: Mutex::default(),
             breaker: Mutex::default(),
             cache: Mutex::default(),
-            silence: Mutex::default(),
-            domain_silence,
+            monitor: Mutex::default(),
+            domain_monitor,
         }
     }
 
-    /// Notes whether it is about to leave.
+    /// Sets whether the upstream is draining.
     pub fn set_draining(&self, draining: bool) {
         self.draining.store(draining, Ordering::Relaxed);
     }
 
-    /// Notes whether its record is gone.
+    /// Sets whether the upstream's record was removed.
     pub fn set_departed(&self, departed: bool) {
         self.departed.store(departed, Ordering::Relaxed);
     }
 
-    /// Returns whether it may get requests.
+    /// Returns whether the upstream may receive requests.
     #[must_use]
     pub fn takes_requests(&self) -> bool {
         !self.draining.load(Ordering::Relaxed)
     }
 
-    /// Returns whether its breaker lets requests through.
+    /// Returns whether the upstream's breaker is closed.
     #[must_use]
     pub fn is_breaker_closed(&self, now: Instant) -> bool {
         lock_ignoring_poison(&self.breaker).state(now) == BreakerState::Closed
     }
 
-    /// Describes it as a choice for a request; `load` is what it is believed to have, and `home` tells whether it is a
-    /// home of the prompt's first part.
+    /// Returns the upstream as a candidate for a request. `load` is the upstream's estimated load; `home` is set if the
+    /// upstream is a home of the prompt's shared prefix.
     #[must_use]
     pub fn candidate(
         &self,
@@ -150,33 +152,35 @@
             () if now < self.cold_until => COLD_PENALTY,
             () => Duration::ZERO,
         };
-        let silence = lock_ignoring_poison(&self.silence).penalty(now);
-        let silence = silence.max(lock_ignoring_poison(&self.domain_silence).penalty(now));
-        let penalty = penalty + silence;
+        let extra_delay = lock_ignoring_poison(&self.monitor).penalty(now);
+        let extra_delay = extra_delay.max(lock_ignoring_poison(&self.domain_monitor).penalty(now));
+        let penalty = penalty + extra_delay;
         Candidate {
             load,
             slots: f64::from(self.record.slots),
             uncached_tokens,
-            elsewhere: self.record.domain != *domain,
+            in_other_domain: self.record.domain != *domain,
             connected: self.has_idle(now),
             penalty,
         }
     }
 
-    /// Returns the requests that this instance has there.
+    /// Returns the number of this instance's requests at the upstream.
     #[must_use]
     pub fn own_requests(&self) -> u32 {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Returns the requests that are thought to be there: the own ones, and others' by its last answer.
+    /// Returns the estimated number of requests at the upstream: this instance's, and others' according to the
+    /// upstream's last response.
     #[must_use]
     pub fn load(&self, now: Instant) -> f64 {
         let view = self.load_view(now);
         view.own + view.others * view.freshness
     }
 
-    /// Returns what is known of its load: the own requests, and others' by its last answer.
+    /// Returns what is known of the upstream's load: this instance's requests, and others' according to the upstream's
+    /// last response.
     #[must_use]
     pub fn load_view(&self, now: Instant) -> LoadView {
         let own = f64::from(self.own_requests());
@@ -195,7 +199,7 @@
         }
     }
 
-    /// Counts a request as being there until the guard is dropped.
+    /// Counts a request as in flight at the upstream until the guard is dropped.
     #[must_use]
     pub fn begin(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
@@ -204,35 +208,36 @@
         }
     }
 
-    /// Notes that a request was sent whose answer should begin at once; the guard ends the wait.
+    /// Records that a request was sent whose response head should arrive at once; dropping the guard ends the wait.
     #[must_use]
     pub fn await_head(self: &Arc<Self>, outcomes: Arc<OutcomeTracker>, now: Instant) -> HeadWait {
         HeadWait {
             outcomes,
-            number: lock_ignoring_poison(&self.silence).begin(now),
-            domain_number: lock_ignoring_poison(&self.domain_silence).begin(now),
+            number: lock_ignoring_poison(&self.monitor).begin_wait(now),
+            domain_number: lock_ignoring_poison(&self.domain_monitor).begin_wait(now),
             upstream: self.clone(),
         }
     }
 
-    /// Notes that the upstream has said something.
+    /// Records that the upstream has sent something.
     pub fn record_response(&self, now: Instant) {
-        lock_ignoring_poison(&self.silence).record_response(now);
+        lock_ignoring_poison(&self.monitor).record_response(now);
         self.record_domain_response(now);
     }
 
-    /// Notes that there is a way to the upstream's failure domain.
+    /// Records that the upstream's failure domain is reachable.
     pub fn record_domain_response(&self, now: Instant) {
-        lock_ignoring_poison(&self.domain_silence).record_response(now);
+        lock_ignoring_poison(&self.domain_monitor).record_response(now);
     }
 
-    /// Notes that the way to the upstream's failure domain is cut, as far as can be told from here.
+    /// Records that the upstream's failure domain is unreachable from this instance, as far as can be determined.
     pub fn mark_domain_unreachable(&self, now: Instant) {
-        lock_ignoring_poison(&self.domain_silence).lose(now);
+        lock_ignoring_poison(&self.domain_monitor).mark_unreachable(now);
     }
 
-    /// Ends when an answer that has been silent for a time can't go on, because the way to its upstream was found to be
-    /// cut. Silence alone is no reason: an engine may put a run aside for as long.
+    /// Returns when a response that has sent nothing for `silent` can't continue because the upstream's failure domain
+    /// was found to be unreachable. The lack of data alone is no reason to give up: an engine may preempt a request for
+    /// that long.
     pub async fn wait_until_unreachable(&self, silent: Duration) {
         loop {
             tokio::time::sleep(silent).await;
@@ -242,44 +247,44 @@
         }
     }
 
-    /// Returns whether anything was heard from its failure domain within a time.
+    /// Returns whether anything arrived from the upstream's failure domain within a time.
     #[must_use]
     pub fn domain_responded_within(&self, time: Duration, now: Instant) -> bool {
-        lock_ignoring_poison(&self.domain_silence).was_heard_within(time, now)
+        lock_ignoring_poison(&self.domain_monitor).responded_within(time, now)
     }
 
-    /// Returns whether the way to its failure domain was found to be cut.
+    /// Returns whether the upstream's failure domain was found to be unreachable.
     #[must_use]
     pub fn is_domain_unreachable(&self, now: Instant) -> bool {
-        lock_ignoring_poison(&self.domain_silence).is_lost(now)
+        lock_ignoring_poison(&self.domain_monitor).is_unreachable(now)
     }
 
-    /// Returns whether its failure domain has been silent for so long that an answer that has been waited for since
-    /// then can't be expected any more.
+    /// Returns whether the failure domain has sent nothing for so long that a response that has been awaited since
+    /// `waited_since` can't be expected any more.
     #[must_use]
     pub fn is_overdue(&self, waited_since: Instant, now: Instant) -> bool {
-        lock_ignoring_poison(&self.domain_silence).is_overdue(waited_since, now)
+        lock_ignoring_poison(&self.domain_monitor).is_overdue(waited_since, now)
     }
 
-    /// Notes the load that an answer told.
+    /// Records the load that a response reported.
     pub fn note_load(&self, load: ReportedLoad, now: Instant) {
         let own = self.in_flight.load(Ordering::Relaxed);
         *lock_ignoring_poison(&self.report) = Some(LoadReport { load, own, at: now });
     }
 
-    /// Notes that the engine has read a prompt.
+    /// Records that the engine has processed a prompt.
     pub fn note_prompt(&self, prompt: &[PromptPart], capacity: u64, now: Instant) {
         if !prompt.is_empty() {
-            lock_ignoring_poison(&self.cache).note(prompt, capacity, now);
+            lock_ignoring_poison(&self.cache).record(prompt, capacity, now);
         }
     }
 
-    /// Notes an answer; returns whether its breaker closed.
+    /// Records a success; returns whether this closed the upstream's breaker.
     pub fn record_success(&self) -> bool {
         lock_ignoring_poison(&self.breaker).record_success()
     }
 
-    /// Notes a failure; returns whether its breaker opened.
+    /// Records a failure; returns whether this opened the upstream's breaker.
     pub fn record_failure(&self, now: Instant, certain: bool) -> bool {
         let opened = lock_ignoring_poison(&self.breaker).record_failure(now, certain);
         if opened {
@@ -288,7 +293,7 @@
         opened
     }
 
-    /// Opens a connection, and keeps it for a request where that succeeds; tells what it says about the way there.
+    /// Probes the network path by opening a connection, which is kept for a request if that succeeds.
     pub async fn probe_path(&self) -> PathProbe {
         match self.connect().await {
             Ok(socket) => {
@@ -297,7 +302,7 @@
             }
             Err(error) if error.kind() == io::ErrorKind::TimedOut => PathProbe::Silent,
             Err(error) => {
-                // Who refuses a connection has been reached.
+                // A host that refuses a connection is reachable.
                 log::debug!("upstream {}: {error}", self.record.id);
                 self.record_domain_response(Instant::now());
                 PathProbe::Answered
@@ -309,7 +314,7 @@
     ///
     /// # Errors
     ///
-    /// The system's error, or a timeout.
+    /// Returns the system's error, or a timeout.
     pub async fn connect(&self) -> io::Result<WireSocket> {
         let limits = SocketLimits::for_requests();
         let socket = WireSocket::connect(self.record.address, CONNECT_TIMEOUT, &limits).await?;
@@ -317,43 +322,43 @@
         Ok(socket)
     }
 
-    /// Returns whether a connection is idle that a request may take.
+    /// Returns whether an idle connection is available for a request.
     fn has_idle(&self, now: Instant) -> bool {
         lock_ignoring_poison(&self.idle)
             .iter()
-            .any(|kept| now < kept.expires)
+            .any(|connection| now < connection.expires)
     }
 
-    /// Takes an idle connection that is fit for a request.
+    /// Takes an idle connection that a request can use.
     pub fn take_idle(&self, now: Instant) -> Option<WireSocket> {
         let mut idle = lock_ignoring_poison(&self.idle);
-        while let Some(mut kept) = idle.pop() {
-            if now < kept.expires && kept.socket.is_quiet() {
-                return Some(kept.socket);
+        while let Some(mut connection) = idle.pop() {
+            if now < connection.expires && connection.socket.is_quiet() {
+                return Some(connection.socket);
             }
         }
         None
     }
 
-    /// Keeps a connection for a later request.
+    /// Keeps a connection for a later request; `stated` is the idle timeout that the upstream stated.
     pub fn keep_idle(&self, socket: WireSocket, stated: Option<Duration>, now: Instant) {
-        let allowed = stated.map_or(UNSTATED_IDLE, |stated| stated.mul_f64(IDLE_MARGIN));
+        let allowed = stated.map_or(DEFAULT_IDLE, |stated| stated.mul_f64(IDLE_MARGIN));
         let mut idle = lock_ignoring_poison(&self.idle);
-        idle.retain(|kept| now < kept.expires);
+        idle.retain(|connection| now < connection.expires);
         idle.push(IdleSocket {
             socket,
-            expires: now + allowed.min(LONGEST_IDLE),
+            expires: now + allowed.min(MAX_IDLE),
         });
     }
 
     /// Drops connections that have been idle for too long.
     pub fn sweep_idle(&self, now: Instant) {
         lock_ignoring_poison(&self.idle)
-            .retain_mut(|kept| now < kept.expires && kept.socket.is_quiet());
+            .retain_mut(|connection| now < connection.expires && connection.socket.is_quiet());
     }
 }
 
-/// A request that counts as being at an upstream.
+/// Counts a request as in flight at an upstream until it is dropped.
 pub struct InFlightGuard {
     upstream: Arc<Upstream>,
 }
@@ -372,7 +377,8 @@
     }
 }
 
-/// A request that waits for its answer's head. Dropped after a long silence, it counts as a failure.
+/// A request that waits for its response head. If it is dropped after a long time without a response, the request
+/// counts as a failure.
 pub struct HeadWait {
     outcomes: Arc<OutcomeTracker>,
     upstream: Arc<Upstream>,
@@ -383,15 +389,15 @@
 impl Drop for HeadWait {
     fn drop(&mut self) {
         let now = Instant::now();
-        lock_ignoring_poison(&self.upstream.domain_silence).end(self.domain_number, now);
-        let failing = lock_ignoring_poison(&self.upstream.silence).end(self.number, now);
+        lock_ignoring_poison(&self.upstream.domain_monitor).end_wait(self.domain_number, now);
+        let failing = lock_ignoring_poison(&self.upstream.monitor).end_wait(self.number, now);
         if failing && !self.upstream.is_domain_unreachable(now) {
             let upstream = self.upstream.start_tag;
             self.outcomes.note(upstream, Outcome::Failure, now);
         }
         if failing && self.upstream.record_failure(now, true) {
             log::info!(
-                "upstream {} is left alone for a while: it has said nothing for too long",
+                "upstream {} is left alone for a while: it has not responded for too long",
                 self.upstream.record.id
             );
         }
--- a/crates/samphiregrade-gateway/src/upstream/rank.rs
+++ b/crates/samphiregrade-gateway/src/upstream/rank.rs
@@ -1,45 +1,45 @@
-//! Which rank a turn has at an engine: pure.
+//! Priority rank of a turn at an engine: pure.
 //!
-//! Answers the pattern of a burst in which more programs begin than the engines can carry. Engines serve equal
-//! ranks in the order of arrival, so without ranks every program is a little late at every turn and hardly any
-//! ends in time. With them, a part of the programs ends in time and the others wait at their first turn, where
-//! least is lost:
+//! Handles bursts in which more programs start than the engines can serve. Engines serve equal ranks in the order of
+//! arrival, so without ranks every program is delayed a little at every turn and hardly any finishes in time. With
+//! ranks, some of the programs finish in time and the others wait at their first turn, where the least work is lost:
 //!
-//! * programs that have begun go before those that begin; of those that have begun, the ones that can still end in
-//!   time go first;
-//! * of those that begin, a hash of the program decides, which is the same at every entry and for every attempt;
-//! * those that have waited too long at their first turn go last of their class: they take what the others leave.
+//! * programs that have started go before new ones; of those that have started, the ones that can still finish in time
+//!   go first;
+//! * new programs are ordered by a hash of the program, which is the same on every entry and for every attempt;
+//! * new programs that have waited too long at their first turn go last of their class: they use what capacity remains.
 //!
-//! The operators' priorities come before all of this. Figures of the paired runs, also of the orders that were
-//! left, stand in docs/design/urgency.md.
+//! The operators' priorities take precedence over these rules. Results of the paired runs, also for the rejected
+//! alternatives, are in docs/design/urgency.md.
 
 use std::time::Duration;
 
 use super::service_times::ServiceTimes;
 
-/// Ranks that an engine knows; 0 is the most urgent.
+/// Number of ranks that an engine supports; 0 is the most urgent.
 const RANKS: u8 = 10;
 
-/// Most ranks that one urgency class is divided into: begun and in time, begun and late, two parts of those that
-/// begin, and those that have waited too long.
+/// Maximum number of ranks in one urgency class: started and in time, started and late, two groups of new programs, and
+/// new programs that have waited too long.
 const CLASS_RANKS: u8 = 5;
 
-/// Parts into which the programs that begin are divided.
-const FIRST_PARTS: u16 = 2;
+/// Number of groups into which new programs are divided.
+const NEW_PROGRAM_GROUPS: u16 = 2;
 
-/// Time that a turn takes beside its prompt and its tokens: its way, and the pause with its tools after it.
-const TURN_ASIDE: Duration = Duration::from_millis(160);
+/// Time that a turn takes in addition to its prompt and its tokens: network latency, and the pause for tool calls after
+/// it.
+const TURN_OVERHEAD: Duration = Duration::from_millis(160);
 
-/// Part of a program's whole time that may be lost before it can't end in time any more: programs are given 1.4
-/// to 1.9 times what they take on idle engines, so a third to a half of it is to spare.
-const SPARE_SHARE: f64 = 0.4;
+/// Share of a program's total time that may be lost before the program can't finish in time any more: programs are
+/// given 1.4 to 1.9 times what they take on idle engines, so about a third to a half of the time is slack.
+const SLACK_SHARE: f64 = 0.4;
 
-/// Place of a route's priority among those of all routes to one service.
+/// Position of a route's priority among the priorities of all routes to one service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct UrgencyClass {
-    /// Its place, 0 being the most urgent.
+    /// Position, from 0 (most urgent).
     pub index: u8,
-    /// How many priorities there are.
+    /// Number of distinct priorities.
     pub count: u8,
 }
 
@@ -49,14 +49,14 @@
     }
 }
 
-/// What turns of a service take.
+/// Typical times of a service's turns.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TurnPace {
-    /// Time of a whole turn.
+    /// Time of a complete turn.
     pub turn: Duration,
-    /// Time until its answer begins.
+    /// Time to the response head.
     pub time_to_head: Duration,
-    /// Time of one token.
+    /// Time per generated token.
     pub token: Duration,
 }
 
@@ -70,35 +70,35 @@
     }
 }
 
-/// What is known of a program when one of its turns is about to be sent.
+/// Progress of a program, as known when one of its turns is about to be sent.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ProgramProgress {
-    /// Hash of the program, the same everywhere.
+    /// Hash of the program, the same on every instance.
     pub tag: u8,
-    /// Turns that have ended.
+    /// Completed turns.
     pub completed_turns: u32,
-    /// Tokens that these have made.
+    /// Tokens that the completed turns generated.
     pub generated_tokens: u64,
-    /// Time that the program had left when its first turn came, where that is known.
+    /// Time before the program's deadline when its first turn arrived, if known.
     pub initial_time_left: Option<Duration>,
-    /// Time that it has left now, where its caller says so.
+    /// Time before the program's deadline now, if the caller states one.
     pub time_left: Option<Duration>,
 }
 
 impl ProgramProgress {
-    /// Returns whether a turn of the program has ended.
+    /// Returns whether the program has completed a turn.
     #[must_use]
     pub fn has_begun(&self) -> bool {
         self.completed_turns > 0
     }
 
-    /// Returns the part of the programs that the program belongs to, from 0.
-    fn part(&self) -> u8 {
-        let part = u16::from(self.tag) * FIRST_PARTS / (u16::from(u8::MAX) + 1);
-        u8::try_from(part).unwrap_or(0)
+    /// Returns the group of new programs to which the program belongs, from 0.
+    fn group(&self) -> u8 {
+        let group = u16::from(self.tag) * NEW_PROGRAM_GROUPS / (u16::from(u8::MAX) + 1);
+        u8::try_from(group).unwrap_or(0)
     }
 
-    /// Returns whether the program can't end in time any more.
+    /// Returns whether the program can't finish in time any more.
     #[must_use]
     pub fn is_late(&self, pace: &TurnPace) -> bool {
         let Some(left) = self.time_left else {
@@ -111,16 +111,17 @@
             return false;
         };
         let tokens = u32::try_from(self.generated_tokens).unwrap_or(u32::MAX);
-        let aside = TURN_ASIDE + pace.time_to_head;
-        let worked = aside.saturating_mul(self.completed_turns) + pace.token.saturating_mul(tokens);
+        let overhead = TURN_OVERHEAD + pace.time_to_head;
+        let worked =
+            overhead.saturating_mul(self.completed_turns) + pace.token.saturating_mul(tokens);
         let lost = initial_time_left
             .saturating_sub(left)
             .saturating_sub(worked);
-        lost > initial_time_left.mul_f64(SPARE_SHARE)
+        lost > initial_time_left.mul_f64(SLACK_SHARE)
     }
 }
 
-/// Returns a turn's rank at an engine, from 0 to 9, 0 being the most urgent.
+/// Returns a turn's rank at an engine, from 0 (most urgent) to 9.
 #[must_use]
 pub fn turn_rank(class: UrgencyClass, progress: &ProgramProgress, pace: &TurnPace) -> u8 {
     let count = class.count.max(1);
@@ -131,7 +132,7 @@
     let position = match (progress.has_begun(), late) {
         (true, false) => 0,
         (true, true) => 1,
-        (false, false) => 2 + progress.part(),
+        (false, false) => 2 + progress.group(),
         (false, true) => CLASS_RANKS - 1,
     };
     first + position.min(width - 1)
--- a/crates/samphiregrade-gateway/src/upstream/run_table.rs
+++ b/crates/samphiregrade-gateway/src/upstream/run_table.rs
@@ -1,10 +1,10 @@
-//! What runs at each upstream and what it has cached, as the keepers account for it: pure.
+//! Running requests and cached prompt parts of each upstream, as tracked by the keepers: pure.
 //!
-//! Answers the pattern of a fleet in which each entry sends so little to each of many engines that it hears of an engine's
-//! load once in seconds, while loads change within tenths of a second: entries place blindly, so that some engines turn
-//! requests away while others idle. Two keepers account for each upstream. Entries tell them what begins and ends there,
-//! and ask the keepers of the upstreams that matter to a turn before they place it. What an instance does in a second
-//! depends on its own turns, not on the number of instances.
+//! Handles large fleets in which each entry sends so few requests to each engine that it receives an engine's load only
+//! once in seconds, while loads change within tenths of a second. With such outdated loads, some engines reject turns
+//! while others are idle. Two keepers therefore keep an account of each upstream. Entries report to them when a request
+//! starts or ends, and query the keepers of the upstreams that are relevant for a turn before selecting one. The work
+//! of an instance depends on its own turns, not on the number of instances.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -14,86 +14,86 @@
 use super::cache::PrefixCache;
 use crate::model::{PromptPart, ServiceName, UpstreamTag};
 
-/// Share of an engine's memory that cached parts are thought to fill at most: requests that run need the rest.
+/// Largest share of an engine's memory that cached parts are assumed to fill: running requests need the rest.
 const CACHE_SHARE: f64 = 0.8;
 
-/// Other upstreams that an answer tells of, the least loaded ones: a turn finds room where its homes have none.
-const OTHERS_TOLD: usize = 3;
+/// Number of additional upstreams in a reply, the least loaded ones: a turn uses them if its home engines are full.
+const EXTRA_UPSTREAMS: usize = 3;
 
-/// Time without a request after which an upstream isn't told of by itself: it may have left.
-const OTHERS_FRESH: Duration = Duration::from_secs(5);
+/// Time without a request after which an upstream isn't added to replies: it may have left.
+const EXTRA_ACTIVITY_TIME: Duration = Duration::from_secs(5);
 
-/// Time without a request after which an upstream is forgotten.
-const FORGET_AFTER: Duration = Duration::from_mins(1);
+/// Time without a request after which an upstream's account is dropped.
+const DROP_AFTER: Duration = Duration::from_mins(1);
 
-/// Upstreams that are accounted for before forgotten ones are looked for.
+/// Number of upstreams above which unused accounts are dropped.
 const UPSTREAM_LIMIT: usize = 256;
 
-/// Longest time for which a run counts whose end is never told: its entry may have died.
-const LONGEST_RUN: Duration = Duration::from_secs(30);
+/// Longest time for which a run counts if its end is never reported: its entry may have crashed.
+const MAX_RUN_TIME: Duration = Duration::from_secs(30);
 
-/// Number of one run, drawn by the entry that sends it.
+/// Random number of one run, assigned by the entry that sends the request.
 pub type RunNumber = u64;
 
-/// A request that is about to be sent to an upstream.
+/// Report that a request is about to be sent to an upstream.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RunStart {
-    /// The start of the upstream.
+    /// Tag of the upstream's start.
     pub upstream: UpstreamTag,
     /// Number of the run.
     pub run: RunNumber,
     /// Service of the upstream.
     pub service: ServiceName,
-    /// The prompt that the upstream reads.
+    /// The prompt that the upstream processes.
     pub prompt: Vec<PromptPart>,
     /// Tokens that the upstream's memory holds.
     pub capacity: u64,
-    /// Time after which the run is over at the latest.
+    /// Longest time that the run takes.
     pub lasts: Duration,
 }
 
-/// A request that is over at an upstream.
+/// Report that a request has ended at an upstream.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RunEnd {
-    /// The start of the upstream.
+    /// Tag of the upstream's start.
     pub upstream: UpstreamTag,
     /// Number of the run.
     pub run: RunNumber,
 }
 
-/// What an entry asks before it places a request.
+/// Query that an entry sends before it selects an upstream for a request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AccountQuery {
     /// The service.
     pub service: ServiceName,
-    /// Upstreams that matter most.
+    /// Upstreams whose accounts are requested.
     pub upstreams: Vec<UpstreamTag>,
     /// The prompt.
     pub prompt: Vec<PromptPart>,
 }
 
-/// How an upstream stands, by all entries' account.
+/// Load and cache of an upstream, over all entries.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UpstreamAccount {
-    /// The start of the upstream.
+    /// Tag of the upstream's start.
     pub upstream: UpstreamTag,
-    /// Requests that run or wait there.
+    /// Requests that run or wait at the upstream.
     pub running: u32,
-    /// Tokens of the prompt that it would have to read.
+    /// Prompt tokens that the upstream would have to process.
     pub uncached: u32,
-    /// Those of them that belong to the prompt's first part.
+    /// The part of `uncached` that belongs to the prompt's shared prefix.
     pub uncached_first: u32,
-    /// How long the keeper has been told of what begins: what began before is not in the account.
+    /// Time for which the keeper has received run starts; earlier runs are not in the account.
     pub informed: Duration,
 }
 
 #[derive(Debug)]
 struct UpstreamRuns {
     service: ServiceName,
-    /// When each run is over at the latest.
+    /// Latest end of each run.
     runs: HashMap<RunNumber, Instant>,
     cache: PrefixCache,
-    used: Instant,
+    last_start: Instant,
 }
 
 impl UpstreamRuns {
@@ -102,64 +102,64 @@
             service,
             runs: HashMap::new(),
             cache: PrefixCache::with_share(CACHE_SHARE),
-            used: now,
+            last_start: now,
         }
     }
 
-    /// Returns how many requests run or wait.
+    /// Returns the number of requests that run or wait.
     fn running(&mut self, now: Instant) -> u32 {
-        self.runs.retain(|_, due| now < *due);
+        self.runs.retain(|_, latest_end| now < *latest_end);
         u32::try_from(self.runs.len()).unwrap_or(u32::MAX)
     }
 }
 
-/// Accounts of the upstreams that a keeper is asked for.
+/// Accounts of the upstreams for which a keeper is responsible.
 #[derive(Debug)]
 pub struct RunTable {
     upstreams: HashMap<UpstreamTag, UpstreamRuns>,
-    since: Instant,
+    observing_since: Instant,
 }
 
 impl RunTable {
-    /// Starts without any.
+    /// Returns an empty table.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
             upstreams: HashMap::new(),
-            since: now,
+            observing_since: now,
         }
     }
 
-    /// Notes a request that is about to be sent.
+    /// Records the start of a request.
     pub fn begin(&mut self, start: RunStart, now: Instant) {
         if self.upstreams.len() >= UPSTREAM_LIMIT {
-            self.forget_unused(now);
+            self.drop_unused(now);
         }
         let runs = self
             .upstreams
             .entry(start.upstream)
             .or_insert_with(|| UpstreamRuns::new(start.service, now));
-        runs.used = now;
+        runs.last_start = now;
         runs.runs
-            .insert(start.run, now + start.lasts.min(LONGEST_RUN));
-        runs.cache.note(&start.prompt, start.capacity, now);
+            .insert(start.run, now + start.lasts.min(MAX_RUN_TIME));
+        runs.cache.record(&start.prompt, start.capacity, now);
     }
 
-    /// Notes a request that is over.
+    /// Records the end of a request.
     pub fn end(&mut self, end: RunEnd) {
         if let Some(runs) = self.upstreams.get_mut(&end.upstream) {
             runs.runs.remove(&end.run);
         }
     }
 
-    /// Tells how the upstreams stand that are asked for, and some others of the service that have room.
-    pub fn answer(&mut self, question: &AccountQuery, now: Instant) -> Vec<UpstreamAccount> {
-        let mut accounts = Vec::with_capacity(question.upstreams.len() + OTHERS_TOLD);
-        for &tag in &question.upstreams {
-            accounts.push(self.account(tag, &question.prompt, now));
+    /// Returns the accounts of the queried upstreams, and of some others of the service that have free capacity.
+    pub fn answer(&mut self, query: &AccountQuery, now: Instant) -> Vec<UpstreamAccount> {
+        let mut accounts = Vec::with_capacity(query.upstreams.len() + EXTRA_UPSTREAMS);
+        for &tag in &query.upstreams {
+            accounts.push(self.account(tag, &query.prompt, now));
         }
-        for tag in self.others_with_room(question, now) {
-            accounts.push(self.account(tag, &question.prompt, now));
+        for tag in self.others_with_capacity(query, now) {
+            accounts.push(self.account(tag, &query.prompt, now));
         }
         accounts
     }
@@ -170,7 +170,7 @@
         prompt: &[PromptPart],
         now: Instant,
     ) -> UpstreamAccount {
-        let informed = now.saturating_duration_since(self.since);
+        let informed = now.saturating_duration_since(self.observing_since);
         let Some(runs) = self.upstreams.get_mut(&upstream) else {
             return UpstreamAccount {
                 upstream,
@@ -190,22 +190,22 @@
         }
     }
 
-    fn others_with_room(&mut self, question: &AccountQuery, now: Instant) -> Vec<UpstreamTag> {
+    fn others_with_capacity(&mut self, query: &AccountQuery, now: Instant) -> Vec<UpstreamTag> {
         let mut others = Vec::new();
         for (&tag, runs) in &mut self.upstreams {
-            let fresh = now.saturating_duration_since(runs.used) < OTHERS_FRESH;
-            if !fresh || runs.service != question.service || question.upstreams.contains(&tag) {
+            let active = now.saturating_duration_since(runs.last_start) < EXTRA_ACTIVITY_TIME;
+            if !active || runs.service != query.service || query.upstreams.contains(&tag) {
                 continue;
             }
             others.push((runs.running(now), tag));
         }
         others.sort_unstable();
-        others.truncate(OTHERS_TOLD);
+        others.truncate(EXTRA_UPSTREAMS);
         others.into_iter().map(|(_, tag)| tag).collect()
     }
 
-    fn forget_unused(&mut self, now: Instant) {
+    fn drop_unused(&mut self, now: Instant) {
         self.upstreams
-            .retain(|_, runs| now.saturating_duration_since(runs.used) < FORGET_AFTER);
+            .retain(|_, runs| now.saturating_duration_since(runs.last_start) < DROP_AFTER);
     }
 }
--- a/crates/samphiregrade-gateway/src/upstream/service_times.rs
+++ b/crates/samphiregrade-gateway/src/upstream/service_times.rs
@@ -1,61 +1,63 @@
-//! What requests of a service take, learned from its answers: pure.
+//! Request times of a service, estimated from its responses: pure.
 //!
-//! Answers the pattern of engines and services whose speeds differ by an order of magnitude between deployments and are
-//! told by nobody. The choice of an upstream weighs a cached prompt against a queue, and the rank of a turn weighs
-//! what its program has lost; both need times that fit.
+//! Handles engines and services whose speeds differ by an order of magnitude between deployments and are not configured
+//! anywhere. The selection of an upstream weighs a cached prompt against a queue, and the rank of a turn weighs the
+//! time that its program has lost; both need realistic times.
 
 use std::time::Duration;
 
-/// Step of a new median, as part of itself: it finds a value that is ten times off within a dozen samples.
+/// First step of a median, relative to its value: the median reaches a value that is ten times off within a dozen
+/// samples.
 const FIRST_STEP: f64 = 0.5;
 
-/// Samples after which the step has halved.
+/// Number of samples after which the step has halved.
 const STEP_SAMPLES: f64 = 6.0;
 
-/// Least step: it follows changes within dozens of samples and stays within some hundredths otherwise.
-const LEAST_STEP: f64 = 0.02;
+/// Smallest step: the median follows changes within dozens of samples and otherwise stays within a few percent.
+const MIN_STEP: f64 = 0.02;
 
-/// Uncached tokens up to which a turn tells how long an answer takes to begin beside its prompt.
+/// Largest number of uncached tokens with which a turn measures the time to the response head without prompt
+/// processing.
 const SHORT_PROMPT: u32 = 300;
 
-/// Uncached tokens from which on a turn tells how fast prompts are read.
+/// Smallest number of uncached tokens with which a turn measures the speed of prompt processing.
 const LONG_PROMPT: u32 = 1000;
 
-/// A median that follows its samples; faults are few among these and move it little.
+/// Running median of samples. Samples of faulty requests are rare and have little effect.
 #[derive(Clone, Copy, Debug)]
 pub struct RunningMedian {
     estimate: f64,
     samples: u32,
-    least: f64,
-    most: f64,
+    lower: f64,
+    upper: f64,
 }
 
 impl RunningMedian {
-    /// Starts with what is likely, and stays within bounds.
+    /// Returns a median with an initial estimate; all estimates stay within the bounds.
     #[must_use]
-    pub fn new(likely: f64, least: f64, most: f64) -> Self {
+    pub fn new(initial: f64, lower: f64, upper: f64) -> Self {
         Self {
-            estimate: likely.clamp(least, most),
+            estimate: initial.clamp(lower, upper),
             samples: 0,
-            least,
-            most,
+            lower,
+            upper,
         }
     }
 
-    /// Takes a sample; one that is no positive number says nothing.
+    /// Adds a sample; ignores a sample that is not a positive number.
     pub fn add(&mut self, sample: f64) {
         if !sample.is_finite() || sample <= 0.0 {
             return;
         }
         let step = FIRST_STEP / (1.0 + f64::from(self.samples) / STEP_SAMPLES);
-        let factor = 1.0 + step.max(LEAST_STEP);
-        // A step doesn't pass the sample, so that equal samples are met exactly.
+        let factor = 1.0 + step.max(MIN_STEP);
+        // A step doesn't overshoot the sample, so that equal samples are reached exactly.
         let next = if sample > self.estimate {
             (self.estimate * factor).min(sample)
         } else {
             (self.estimate / factor).max(sample)
         };
-        self.estimate = next.clamp(self.least, self.most);
+        self.estimate = next.clamp(self.lower, self.upper);
         self.samples = self.samples.saturating_add(1);
     }
 
@@ -66,98 +68,99 @@
     }
 }
 
-/// How a request went that was answered whole.
+/// Measurements of a request with a complete response.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AnsweredRequest {
-    /// Tokens that the engine had to read.
+    /// Prompt tokens that the engine had to process.
     pub uncached: u32,
-    /// Tokens that it made.
+    /// Tokens that the engine generated.
     pub generated_tokens: u32,
-    /// Time from sending to the head of the answer.
+    /// Time from sending to the response head.
     pub time_to_head: Duration,
-    /// Time from sending to the end of the answer.
+    /// Time from sending to the end of the response.
     pub total: Duration,
 }
 
-/// What requests of one service take.
+/// Request times of one service.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceTimes {
-    /// Milliseconds from sending to the end.
-    hold: RunningMedian,
-    /// Milliseconds to the head of the answer where hardly anything has to be read.
-    head: RunningMedian,
-    /// Milliseconds to the head of the answer.
-    first: RunningMedian,
-    /// Prompt tokens that are read in a millisecond.
-    reading: RunningMedian,
-    /// Milliseconds for each token that is made.
+    /// Milliseconds from sending to the end of the response.
+    slot_time: RunningMedian,
+    /// Milliseconds to the response head for prompts that are almost completely cached.
+    short_prompt_head: RunningMedian,
+    /// Milliseconds to the response head.
+    time_to_head: RunningMedian,
+    /// Prompt tokens that are processed per millisecond.
+    prefill_rate: RunningMedian,
+    /// Milliseconds per generated token.
     token: RunningMedian,
 }
 
 impl ServiceTimes {
-    /// Returns what is likely of an engine before it has answered: between the fastest and the slowest that are known,
-    /// which are six times apart.
+    /// Returns initial times for engines: between the fastest and the slowest known engines, which differ by a factor
+    /// of six.
     #[must_use]
     pub fn of_engine() -> Self {
         Self {
-            hold: RunningMedian::new(220.0, 1.0, 60_000.0),
-            head: RunningMedian::new(20.0, 0.5, 10_000.0),
-            first: RunningMedian::new(40.0, 0.5, 10_000.0),
-            reading: RunningMedian::new(100.0, 1.0, 10_000.0),
+            slot_time: RunningMedian::new(220.0, 1.0, 60_000.0),
+            short_prompt_head: RunningMedian::new(20.0, 0.5, 10_000.0),
+            time_to_head: RunningMedian::new(40.0, 0.5, 10_000.0),
+            prefill_rate: RunningMedian::new(100.0, 1.0, 10_000.0),
             token: RunningMedian::new(2.0, 0.01, 1000.0),
         }
     }
 
-    /// Returns what is likely of a plain service.
+    /// Returns initial times for plain services.
     #[must_use]
     pub fn of_plain() -> Self {
         Self {
-            hold: RunningMedian::new(30.0, 0.5, 60_000.0),
+            slot_time: RunningMedian::new(30.0, 0.5, 60_000.0),
             ..Self::of_engine()
         }
     }
 
-    /// Takes how a request went.
-    pub fn note(&mut self, answered: &AnsweredRequest) {
-        let first = milliseconds(answered.time_to_head);
-        let total = milliseconds(answered.total);
-        self.hold.add(total);
-        self.first.add(first);
-        if answered.uncached <= SHORT_PROMPT {
-            self.head.add(first);
+    /// Adds the measurements of a request.
+    pub fn note(&mut self, measured: &AnsweredRequest) {
+        let time_to_head = milliseconds(measured.time_to_head);
+        let total = milliseconds(measured.total);
+        self.slot_time.add(total);
+        self.time_to_head.add(time_to_head);
+        if measured.uncached <= SHORT_PROMPT {
+            self.short_prompt_head.add(time_to_head);
         }
-        let read = first - self.head.estimate();
-        if answered.uncached >= LONG_PROMPT && read > 0.0 {
-            self.reading.add(f64::from(answered.uncached) / read);
+        let prefill_time = time_to_head - self.short_prompt_head.estimate();
+        if measured.uncached >= LONG_PROMPT && prefill_time > 0.0 {
+            self.prefill_rate
+                .add(f64::from(measured.uncached) / prefill_time);
         }
-        if answered.generated_tokens > 0 {
+        if measured.generated_tokens > 0 {
             self.token
-                .add((total - first) / f64::from(answered.generated_tokens));
+                .add((total - time_to_head) / f64::from(measured.generated_tokens));
         }
     }
 
-    /// Returns how long a request holds a slot.
+    /// Returns the time for which a request occupies a slot.
     #[must_use]
     pub fn slot_time(&self) -> Duration {
-        span(self.hold.estimate())
+        to_duration(self.slot_time.estimate())
     }
 
-    /// Returns how long an answer takes to begin.
+    /// Returns the time to the response head.
     #[must_use]
     pub fn time_to_head(&self) -> Duration {
-        span(self.first.estimate())
+        to_duration(self.time_to_head.estimate())
     }
 
-    /// Returns the prompt tokens that are read in a millisecond.
+    /// Returns the prompt tokens that are processed per millisecond.
     #[must_use]
     pub fn prefill_rate(&self) -> f64 {
-        self.reading.estimate()
+        self.prefill_rate.estimate()
     }
 
-    /// Returns how long a token takes.
+    /// Returns the time per generated token.
     #[must_use]
     pub fn token(&self) -> Duration {
-        span(self.token.estimate())
+        to_duration(self.token.estimate())
     }
 }
 
@@ -165,6 +168,6 @@
     time.as_secs_f64() * 1000.0
 }
 
-fn span(milliseconds: f64) -> Duration {
+fn to_duration(milliseconds: f64) -> Duration {
     Duration::from_secs_f64(milliseconds / 1000.0)
 }
--- a/crates/samphiregrade-gateway/src/upstream/silence.rs
+++ b/crates/samphiregrade-gateway/src/upstream/silence.rs
@@ -1,34 +1,34 @@
-//! How long an upstream has owed an answer's head: pure.
+//! Detects upstreams that don't send the response heads they owe: pure.
 //!
-//! Answers the pattern of an upstream that takes connections and requests and says nothing, while its health
-//! check may be good. Nothing fails there: clients leave after seconds, and every program that meets it is late.
+//! Handles upstreams that accept connections and requests but never respond, while their health checks may pass. No
+//! request fails at such an upstream: clients give up after seconds, and every program that uses the upstream is late.
 
 use std::time::{Duration, Instant};
 
-/// Silence that says nothing yet: some ten times the usual time to an answer's head, on engines and on plain
-/// services alike; an engine that reads several long prompts takes half of it.
-const ALLOWED: Duration = Duration::from_millis(250);
+/// Time without a response that has no effect: about ten times the usual time to the response head, on engines and on
+/// plain services alike; an engine that processes several long prompts takes half of this time.
+const ALLOWED_DELAY: Duration = Duration::from_millis(250);
 
-/// Silence after which an upstream counts as failing when its client has left: no prompt takes as long for a
-/// request that engines serve first.
+/// Time without a response after which an upstream counts as failing if the client gives up: no prompt takes that long
+/// for a request that engines serve first.
 const FAILING_AFTER: Duration = Duration::from_millis(600);
 
-/// Silence of a whole failure domain after which a request that has waited as long is given up: the way there is cut,
-/// and its caller is better off beginning anew than waiting for its deadline.
-const OUT_OF_REACH: Duration = Duration::from_millis(700);
+/// Time without a response from an entire failure domain after which a request that has waited as long is given up: the
+/// network path is interrupted, and retrying costs the caller less than waiting for the deadline.
+const OVERDUE_AFTER: Duration = Duration::from_millis(700);
 
-/// What a millisecond of silence beyond the allowed costs in the choice of an upstream, in milliseconds: enough to
-/// outweigh a whole cached prompt (some 300 ms) soon.
-const COST: u32 = 4;
+/// Penalty in milliseconds for each millisecond without a response beyond the allowed time: it soon outweighs a
+/// completely cached prompt (about 300 ms).
+const PENALTY_FACTOR: u32 = 4;
 
-/// Time for which a cut that was found counts, unless something is heard before: cuts last seconds, and finding out
-/// whether one has healed costs a request.
-const LOST_MEMORY: Duration = Duration::from_millis(1500);
+/// Time for which a failure domain counts as unreachable after this was detected, unless something arrives earlier:
+/// network partitions last seconds, and each check whether one has ended costs a request.
+const UNREACHABLE_MEMORY: Duration = Duration::from_millis(1500);
 
-/// What a cut costs in the choice of an upstream: more than any queue elsewhere.
-const LOST_PENALTY: Duration = Duration::from_secs(5);
+/// Penalty of an unreachable failure domain: more than any queue elsewhere.
+const UNREACHABLE_PENALTY: Duration = Duration::from_secs(5);
 
-/// Number of a request that waits for its answer's head.
+/// Number of a request that waits for its response head.
 pub type WaitNumber = u64;
 
 #[derive(Clone, Copy, Debug)]
@@ -37,20 +37,20 @@
     since: Instant,
 }
 
-/// The requests that wait for an upstream to answer.
+/// Tracks the requests that wait for a response from an upstream or a failure domain.
 #[derive(Clone, Debug, Default)]
-pub struct SilenceWatch {
+pub struct ResponseMonitor {
     next: WaitNumber,
-    /// In the order of sending.
+    /// Open waits, in the order of sending.
     open: Vec<OpenWait>,
-    heard: Option<Instant>,
-    /// When the way there was found to be cut.
-    lost: Option<Instant>,
+    last_response: Option<Instant>,
+    /// Time at which the upstream was found to be unreachable.
+    unreachable_since: Option<Instant>,
 }
 
-impl SilenceWatch {
-    /// Notes that a request was sent whose answer should begin at once.
-    pub fn begin(&mut self, now: Instant) -> WaitNumber {
+impl ResponseMonitor {
+    /// Records that a request was sent whose response head should arrive at once.
+    pub fn begin_wait(&mut self, now: Instant) -> WaitNumber {
         self.next += 1;
         self.open.push(OpenWait {
             number: self.next,
@@ -59,65 +59,67 @@
         self.next
     }
 
-    /// Notes that the upstream has said something.
+    /// Records that the upstream has sent something.
     pub fn record_response(&mut self, now: Instant) {
-        self.heard = Some(now);
-        self.lost = None;
+        self.last_response = Some(now);
+        self.unreachable_since = None;
     }
 
-    /// Returns whether anything was heard within a time.
+    /// Returns whether anything arrived within a time.
     #[must_use]
-    pub fn was_heard_within(&self, time: Duration, now: Instant) -> bool {
-        self.heard
-            .is_some_and(|heard| now.saturating_duration_since(heard) < time)
+    pub fn responded_within(&self, time: Duration, now: Instant) -> bool {
+        self.last_response
+            .is_some_and(|last_response| now.saturating_duration_since(last_response) < time)
     }
 
-    /// Notes that the way there was found to be cut.
-    pub fn lose(&mut self, now: Instant) {
-        self.lost = Some(now);
+    /// Records that the upstream was found to be unreachable.
+    pub fn mark_unreachable(&mut self, now: Instant) {
+        self.unreachable_since = Some(now);
     }
 
-    /// Notes that a request does not wait any more; returns whether the upstream counts as failing with it.
-    pub fn end(&mut self, number: WaitNumber, now: Instant) -> bool {
-        let failing = self.silence(now) >= FAILING_AFTER;
+    /// Records that a request does not wait any more; returns whether the upstream counts as failing because of it.
+    pub fn end_wait(&mut self, number: WaitNumber, now: Instant) -> bool {
+        let failing = self.response_delay(now) >= FAILING_AFTER;
         self.open.retain(|wait| wait.number != number);
         failing
     }
 
-    /// Returns how long the upstream has said nothing although it should.
+    /// Returns the time for which the upstream has sent nothing although a response is due.
     #[must_use]
-    pub fn silence(&self, now: Instant) -> Duration {
+    pub fn response_delay(&self, now: Instant) -> Duration {
         let Some(oldest) = self.open.first() else {
             return Duration::ZERO;
         };
-        let since = self
-            .heard
-            .map_or(oldest.since, |heard| heard.max(oldest.since));
+        let since = self.last_response.map_or(oldest.since, |last_response| {
+            last_response.max(oldest.since)
+        });
         now.saturating_duration_since(since)
     }
 
-    /// Returns whether an answer that has been waited for since then can't be expected any more.
+    /// Returns whether a response that has been awaited since `waited_since` can't be expected any more.
     #[must_use]
     pub fn is_overdue(&self, waited_since: Instant, now: Instant) -> bool {
         let waited = now.saturating_duration_since(waited_since);
-        waited.min(self.silence(now)) >= OUT_OF_REACH
+        waited.min(self.response_delay(now)) >= OVERDUE_AFTER
     }
 
-    /// Returns whether the way there was found to be cut not long ago.
+    /// Returns whether the upstream was recently found to be unreachable.
     #[must_use]
-    pub fn is_lost(&self, now: Instant) -> bool {
-        self.lost
-            .is_some_and(|lost| now.saturating_duration_since(lost) < LOST_MEMORY)
+    pub fn is_unreachable(&self, now: Instant) -> bool {
+        self.unreachable_since.is_some_and(|unreachable_since| {
+            now.saturating_duration_since(unreachable_since) < UNREACHABLE_MEMORY
+        })
     }
 
-    /// Returns the time that the silence adds to a request that would be sent there.
+    /// Returns the expected extra time of a request that would be sent to the upstream.
     #[must_use]
     pub fn penalty(&self, now: Instant) -> Duration {
-        let known = if self.is_lost(now) {
-            LOST_PENALTY
+        let unreachable_penalty = if self.is_unreachable(now) {
+            UNREACHABLE_PENALTY
         } else {
             Duration::ZERO
         };
-        known.max(self.silence(now).saturating_sub(ALLOWED) * COST)
+        unreachable_penalty
+            .max(self.response_delay(now).saturating_sub(ALLOWED_DELAY) * PENALTY_FACTOR)
     }
 }
