--- a/crates/samphiregrade-gateway/tests/suite/access.rs
+++ b/crates/samphiregrade-gateway/tests/suite/access.rs
@@ -1,6 +1,7 @@
-//! Who calls, and how fresh what is known of keys has to be.
+//! Identification of callers, and the required freshness of the known keys.
 //!
-//! Pattern: a key that is withdrawn while an instance is cut off, frozen, or behind a watch that stays silent.
+//! Guards against serving a withdrawn key on an instance that is cut off, suspended, or connected to an unresponsive
+//! watch.
 
 use std::time::Duration;
 
@@ -14,7 +15,7 @@
 use samphiregrade_gateway::routing::RouteTable;
 
 const BOUND: Duration = Duration::from_secs(5);
-const HELD: Duration = Duration::from_secs(1);
+const HOLD: Duration = Duration::from_secs(1);
 
 fn at(milliseconds: u64) -> BootTime {
     BootTime::since_start(Duration::from_millis(milliseconds))
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn keys_tell_their_organisation() {
+fn keys_identify_their_organisation() {
     let table = KeyTable::new(vec![
         organisation("cantabrica", &["k1", "k2"]),
         organisation("pisuerga", &["k3"]),
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn a_key_of_two_organisations_is_nobodys_and_harms_no_other() {
+fn key_of_two_organisations_is_rejected_and_others_still_work() {
     let table = KeyTable::new(vec![
         organisation("cantabrica", &["shared", "own"]),
         organisation("pisuerga", &["shared"]),
@@ -77,13 +78,13 @@
 }
 
 #[test]
-fn a_key_that_stands_twice_in_its_organisation_is_its_own() {
+fn key_listed_twice_in_one_organisation_is_accepted() {
     let table = KeyTable::new(vec![organisation("cantabrica", &["k1", "k1"])]);
     assert_eq!(name_of(&table, "k1").as_deref(), Some("cantabrica"));
 }
 
 #[test]
-fn names_that_no_header_holds_are_left_out() {
+fn organisations_with_names_invalid_in_headers_are_skipped() {
     let table = KeyTable::new(vec![
         organisation("two\r\nlines", &["k1"]),
         organisation("", &["k2"]),
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn a_key_is_not_told_by_its_debug_text() {
+fn debug_output_does_not_reveal_keys() {
     let key = CallerKey::digest(b"secret");
     let told = format!("{key:?} {:?}", credential("secret"));
     assert!(!told.contains("secret"), "{told}");
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn ids_of_organisations_never_meet() {
+fn scoped_ids_of_organisations_are_distinct() {
     let table = KeyTable::new(vec![
         organisation("a", &["k1"]),
         organisation("aa", &["k2"]),
@@ -127,7 +128,7 @@
     };
     assert_ne!(scoped("k1", "ab"), scoped("k2", "b"));
     assert_ne!(scoped("k1", "x"), scoped("k2", "x"));
-    // One who needs no key can't name an organisation's turn.
+    // An anonymous caller can't refer to an organisation's turn.
     assert_ne!(
         CallerIdentity::Anonymous.scoped_id("1:ax"),
         scoped("k1", "x")
@@ -136,7 +137,7 @@
 }
 
 #[test]
-fn nothing_is_served_before_it_is_proved() {
+fn keys_are_served_only_after_a_proof() {
     let freshness = strict();
     assert!(!freshness.permits_known_keys(at(1)));
     assert!(!freshness.permits_denial(at(1)));
@@ -144,21 +145,21 @@
     assert!(freshness.permits_known_keys(at(1000)));
     assert!(freshness.permits_known_keys(at(5500)));
     assert!(!freshness.permits_known_keys(at(6000)));
-    // An older proof takes nothing back.
+    // An older proof does not reduce the freshness.
     freshness.prove(at(500));
     assert!(freshness.permits_known_keys(at(5500)));
 }
 
 #[test]
-fn a_frozen_machine_finds_its_proofs_old() {
+fn proofs_expire_while_the_machine_is_suspended() {
     let freshness = strict();
     freshness.prove(at(10_000));
-    // The clock has gone on while the machine stood still.
+    // The clock continues while the machine is suspended.
     assert!(!freshness.permits_known_keys(at(10_000 + 60_000)));
 }
 
 #[test]
-fn a_configuration_that_cannot_be_read_proves_nothing() {
+fn undecodable_configuration_proves_nothing() {
     let freshness = strict();
     freshness.prove(at(1000));
     freshness.set_readable(false);
@@ -170,10 +171,10 @@
 }
 
 #[test]
-fn known_keys_are_served_for_ever_where_the_bound_is_not_strict() {
+fn known_keys_are_always_served_without_a_strict_bound() {
     let freshness = KeyFreshness::new(FreshnessRule { strict: None });
     assert!(freshness.permits_known_keys(at(1)));
-    // One that isn't known may have come since.
+    // An unknown key may have been added meanwhile.
     assert!(!freshness.permits_denial(at(1)));
     freshness.prove(at(1000));
     assert!(freshness.permits_denial(at(2000)));
@@ -181,17 +182,17 @@
 }
 
 #[test]
-fn a_watch_proves_what_it_was_held_for() {
-    // It ended without changes after its time.
-    assert_eq!(proof_of_watch(at(100), at(1104), HELD, 0), Some(at(1100)));
-    // The time that its answer took proves nothing.
-    assert_eq!(proof_of_watch(at(100), at(9000), HELD, 0), Some(at(1100)));
-    // It was cut short.
-    assert_eq!(proof_of_watch(at(100), at(400), HELD, 0), Some(at(100)));
-    // It brought all changes that there were when it was sent.
-    assert_eq!(proof_of_watch(at(100), at(400), HELD, 3), Some(at(100)));
-    // It may have brought a part of them.
-    assert_eq!(proof_of_watch(at(100), at(400), HELD, 500), None);
+fn watch_without_changes_proves_its_hold_time() {
+    // The watch ended without changes after its hold time.
+    assert_eq!(proof_of_watch(at(100), at(1104), HOLD, 0), Some(at(1100)));
+    // The transfer time of the response proves nothing.
+    assert_eq!(proof_of_watch(at(100), at(9000), HOLD, 0), Some(at(1100)));
+    // The watch was interrupted.
+    assert_eq!(proof_of_watch(at(100), at(400), HOLD, 0), Some(at(100)));
+    // The watch returned all changes up to the time at which it was sent.
+    assert_eq!(proof_of_watch(at(100), at(400), HOLD, 3), Some(at(100)));
+    // The watch may have returned only some of the changes.
+    assert_eq!(proof_of_watch(at(100), at(400), HOLD, 500), None);
 }
 
 fn route(access: RouteAccess) -> RouteRecord {
@@ -209,7 +210,7 @@
 }
 
 #[test]
-fn routes_ask_for_keys_only_where_there_are_organisations() {
+fn routes_require_keys_only_if_organisations_are_configured() {
     let keyed = table_with(Some(vec![organisation("cantabrica", &["k1"])]));
     let (closed, open) = (route(RouteAccess::Keyed), route(RouteAccess::Open));
     let identity = |route: &RouteRecord, credential| keyed.identify(route, &credential);
@@ -227,19 +228,19 @@
         identity(&open, credential("k1")),
         Some(CallerIdentity::Known(_))
     ));
-    let unasked = table_with(None);
+    let without_organisations = table_with(None);
     assert!(matches!(
-        unasked.identify(&closed, &CallerCredential::Unusable),
+        without_organisations.identify(&closed, &CallerCredential::Unusable),
         Some(CallerIdentity::KeyNotRequired)
     ));
-    let nobody = table_with(Some(Vec::new()));
-    assert!(nobody.identify(&closed, &credential("k1")).is_none());
+    let without_keys = table_with(Some(Vec::new()));
+    assert!(without_keys.identify(&closed, &credential("k1")).is_none());
 }
 
 #[test]
-fn an_organisations_priority_has_a_place_among_those_of_routes() {
-    let mut hasty = organisation("cantabrica", &["k1"]);
-    hasty.priority = Some(0);
+fn organisation_priority_is_ranked_with_route_priorities() {
+    let mut urgent = organisation("cantabrica", &["k1"]);
+    urgent.priority = Some(0);
     let route = RouteRecord {
         priority: 3,
         ..route(RouteAccess::Keyed)
@@ -247,25 +248,25 @@
     let service = route.shares[0].service.clone();
     let table = RouteTable::new(RoutingConfig {
         routes: vec![route],
-        organisations: Some(vec![hasty]),
+        organisations: Some(vec![urgent]),
         ..RoutingConfig::default()
     });
     assert_eq!(table.urgency(&service, 0).index, 0);
     assert_eq!(table.urgency(&service, 3).index, 1);
 }
 
-/// Steps of a play: a withdrawal is learnt by the one who follows, or proofs come.
-fn serves_no_withdrawn_key(steps: &[(u8, u16)]) -> bool {
+/// Simulates a sequence of withdrawals and proofs; returns whether the withdrawn key is never served beyond the bound.
+fn never_serves_late(steps: &[(u8, u16)]) -> bool {
     let freshness = strict();
     let mut now = 1000_u64;
-    // Since when the key is withdrawn, and whether this instance knows.
+    // Time of the key's withdrawal, and whether this instance knows of it.
     let mut withdrawn: Option<u64> = None;
     let mut knows = false;
     for &(kind, pause) in steps {
         now += u64::from(pause);
         match kind % 4 {
             0 if withdrawn.is_none() => withdrawn = Some(now),
-            // A watch that was sent now ends after its time: changes until its sending are known.
+            // A read at this time returns all changes until now.
             1 => {
                 knows |= withdrawn.is_some();
                 freshness.prove(at(now));
@@ -273,7 +274,7 @@
             2 => {
                 let ended = now + 1000 + u64::from(pause) % 300;
                 let changed = withdrawn.is_some_and(|since| !knows && since <= now + 1000);
-                let proof = proof_of_watch(at(now), at(ended), HELD, usize::from(changed));
+                let proof = proof_of_watch(at(now), at(ended), HOLD, usize::from(changed));
                 knows |= changed;
                 freshness.prove(proof.expect("few changes"));
                 now = ended;
@@ -292,6 +293,6 @@
 quickcheck! {
     fn no_key_is_served_beyond_the_bound_after_its_withdrawal(steps: Vec<(u8, u16)>) -> bool {
         let steps: Vec<(u8, u16)> = steps.into_iter().map(|(kind, pause)| (kind, pause % 3000)).collect();
-        serves_no_withdrawn_key(&steps)
+        never_serves_late(&steps)
     }
 }
--- a/crates/samphiregrade-gateway/tests/suite/balance.rs
+++ b/crates/samphiregrade-gateway/tests/suite/balance.rs
@@ -1,4 +1,4 @@
-//! Where requests go: prompts with cached parts, filling slots, other failure domains.
+//! Selection of upstreams: cached prompt parts, filling slots, other failure domains.
 
 use std::time::{Duration, Instant};
 
@@ -38,12 +38,13 @@
 }
 
 #[test]
-fn nearly_full_engines_keep_their_programs() {
-    // A burst: all engines are nearly full; reading 5,000 tokens again elsewhere would hold up eight others.
+fn nearly_full_engine_keeps_its_cached_program() {
+    // In a burst, all engines are nearly full; processing 5,000 tokens again elsewhere would delay eight other
+    // requests.
     let home = candidate(10.0, 1_000);
     let other = candidate(7.0, 5_000);
     assert_eq!(choose_upstream(&[other, home], &TURN, 0.0), Some(1));
-    // A program that is new to all of them goes where there is most room.
+    // A program without cached tokens goes to the engine with the most free capacity.
     assert_eq!(
         choose_upstream(&[candidate(10.0, 1_500), candidate(7.0, 1_500)], &TURN, 0.0),
         Some(1)
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn plain_requests_go_where_fewest_run() {
+fn plain_requests_go_to_the_least_loaded_upstream() {
     let busy = Candidate {
         load: 4.0,
         slots: 6.0,
@@ -59,7 +60,7 @@
     };
     let free = Candidate {
         load: 1.0,
-        elsewhere: true,
+        in_other_domain: true,
         ..busy
     };
     assert_eq!(choose_upstream(&[busy, free], &PLAIN, 0.0), Some(1));
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn equal_engines_share_by_the_draw() {
+fn draw_selects_among_equal_engines() {
     let equal = [candidate(1.0, 0), candidate(1.0, 0), candidate(1.0, 0)];
     let choices: Vec<_> = [0.0, 0.4, 0.9]
         .into_iter()
@@ -84,9 +85,9 @@
 }
 
 #[test]
-fn near_engine_is_chosen_among_equals() {
+fn engine_in_the_same_domain_is_preferred() {
     let far = Candidate {
-        elsewhere: true,
+        in_other_domain: true,
         ..candidate(1.0, 0)
     };
     assert_eq!(
@@ -97,7 +98,7 @@
 
 #[test]
 fn calls_stay_on_open_connections_until_load_differs() {
-    // Many entries send few calls each: with equal choices, each call opens a connection of its own.
+    // Many entries send few calls each: if all candidates cost the same, each call opens a connection of its own.
     let open = Candidate {
         load: 2.0,
         slots: 6.0,
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn an_upstream_that_was_not_heard_of_is_not_thought_idle() {
+fn upstream_without_recent_response_is_not_assumed_idle() {
     let fresh = LoadView {
         own: 1.0,
         others: 3.0,
@@ -130,7 +131,7 @@
     let unknown = LoadView::default();
     let loads = estimate_loads(&[fresh, faded, unknown]);
     assert_eq!(loads, [4.0, 3.0, 3.0]);
-    // With nothing known of any, only the own requests count.
+    // Without any known load, only the own requests count.
     assert_eq!(estimate_loads(&[unknown, faded]), [0.0, 0.0]);
 }
 
@@ -152,10 +153,10 @@
 }
 
 #[test]
-fn cache_counts_only_the_unbroken_front() {
+fn cache_counts_only_an_unbroken_prefix() {
     let now = Instant::now();
     let mut cache = PrefixCache::default();
-    cache.note(&[part(1, 100), part(2, 50)], 10_000, now);
+    cache.record(&[part(1, 100), part(2, 50)], 10_000, now);
     assert_eq!(cache.uncached(&[part(1, 100), part(2, 50)], false, now), 0);
     assert_eq!(cache.uncached(&[part(1, 100), part(2, 80)], false, now), 30);
     assert_eq!(cache.uncached(&[part(9, 10), part(2, 50)], false, now), 60);
@@ -164,7 +165,7 @@
 }
 
 #[test]
-fn home_is_thought_to_have_the_first_part() {
+fn home_counts_the_first_part_as_cached() {
     let now = Instant::now();
     let cache = PrefixCache::default();
     assert_eq!(cache.uncached(&[part(1, 100), part(2, 50)], true, now), 50);
@@ -174,7 +175,7 @@
     );
 }
 
-/// Marks the homes of a part of which one engine's memory holds five.
+/// Returns which engines are homes of a prefix; one engine's memory holds five such prefixes.
 fn homes_of(share: f64, engines: &[u64]) -> Vec<bool> {
     let part = SharedPrefix {
         tag: 7,
@@ -188,7 +189,7 @@
 }
 
 #[test]
-fn homes_are_more_where_memory_allows() {
+fn prefix_has_more_homes_if_memory_allows() {
     let engines: Vec<u64> = (0..40).collect();
     let part = SharedPrefix {
         tag: 7,
@@ -197,15 +198,15 @@
         capacity: 100_000,
     };
     assert_eq!(rank_homes(&part, &engines).count, 12);
-    let roomy = SharedPrefix {
+    let larger = SharedPrefix {
         capacity: 1_000_000,
         ..part
     };
-    assert_eq!(rank_homes(&roomy, &engines).count, 18);
+    assert_eq!(rank_homes(&larger, &engines).count, 18);
 }
 
 #[test]
-fn drawn_homes_come_with_the_same_spare_engines() {
+fn sampled_homes_come_with_the_same_spare_engines() {
     let engines: Vec<u64> = (0..40).collect();
     let homes = rank_homes(
         &SharedPrefix {
@@ -228,7 +229,7 @@
 }
 
 #[test]
-fn homes_follow_the_share_and_stay_when_an_engine_goes() {
+fn homes_scale_with_the_share_and_stay_when_an_engine_is_removed() {
     let engines: Vec<u64> = (0..40_u64)
         .map(|index| index.wrapping_mul(0x9e37_79b9_7f4a_7c15))
         .collect();
@@ -237,7 +238,7 @@
     assert_eq!(
         homes_of(0.25, &engines),
         chosen,
-        "every entry draws the same"
+        "every entry selects the same homes"
     );
     let fewer: Vec<u64> = engines[1..].to_vec();
     let moved = homes_of(0.25, &fewer)
@@ -248,7 +249,7 @@
     assert!(moved <= 1, "{moved} homes moved");
     assert!(
         homes_of(0.001, &engines).iter().all(|&home| !home),
-        "a program's own part has none"
+        "a prefix of a single program has no homes"
     );
     assert_eq!(
         homes_of(0.02, &engines[..3])
@@ -260,7 +261,7 @@
 }
 
 #[test]
-fn shares_of_first_parts_follow_the_traffic() {
+fn prefix_shares_follow_the_traffic() {
     let start = Instant::now();
     let parts = PrefixShares::default();
     for index in 0..100_u64 {
@@ -269,18 +270,15 @@
     let share = parts.count(0, start);
     assert!((0.2..0.3).contains(&share), "{share}");
     let later = start + Duration::from_mins(2);
-    assert!(
-        parts.count(9, later) > 0.9,
-        "what was seen long ago counts no more"
-    );
+    assert!(parts.count(9, later) > 0.9, "old counts have decayed");
 }
 
 #[test]
-fn cache_forgets_the_oldest_beyond_its_room() {
+fn cache_evicts_oldest_parts_beyond_capacity() {
     let now = Instant::now();
     let mut cache = PrefixCache::default();
     for tag in 0..20 {
-        cache.note(&[part(tag, 100)], 2_000, now + Duration::from_millis(tag));
+        cache.record(&[part(tag, 100)], 2_000, now + Duration::from_millis(tag));
     }
     assert_eq!(cache.uncached(&[part(0, 100)], false, now), 100);
     assert_eq!(cache.uncached(&[part(19, 100)], false, now), 0);
@@ -298,14 +296,14 @@
     assert_eq!(breaker.state(later), BreakerState::Closed);
     assert!(
         breaker.record_failure(later, false),
-        "one failure opens a breaker that is tried again"
+        "one failure opens a half-open breaker"
     );
     assert!(breaker.record_success());
     assert_eq!(breaker.state(later), BreakerState::Closed);
 }
 
 #[test]
-fn breaker_opens_at_once_where_nobody_listens() {
+fn breaker_opens_at_once_if_nothing_listens() {
     let now = Instant::now();
     let mut breaker = UpstreamBreaker::default();
     assert!(breaker.record_failure(now, true));
@@ -313,7 +311,7 @@
 }
 
 #[test]
-fn cached_chain_is_worth_more_than_a_few_requests_fewer_in_the_batch() {
+fn cached_prompt_outweighs_a_slightly_smaller_batch() {
     let cached = Candidate {
         load: 4.0,
         slots: 8.0,
--- a/crates/samphiregrade-gateway/tests/suite/rank.rs
+++ b/crates/samphiregrade-gateway/tests/suite/rank.rs
@@ -1,11 +1,11 @@
-//! Ranks of turns at engines, and what they make of a burst.
+//! Ranks of turns at engines, and their effect in a burst.
 
 use std::time::Duration;
 
 use quickcheck::quickcheck;
 use samphiregrade_gateway::upstream::{ProgramProgress, TurnPace, UrgencyClass, turn_rank};
 
-/// Turns of some 256 tokens at 0.85 ms each.
+/// Turns of about 256 tokens at 0.85 ms each.
 const PACE: TurnPace = TurnPace {
     turn: Duration::from_millis(220),
     time_to_head: Duration::from_millis(40),
@@ -15,7 +15,7 @@
 const URGENT: UrgencyClass = UrgencyClass { index: 0, count: 2 };
 const ORDINARY: UrgencyClass = UrgencyClass { index: 1, count: 2 };
 
-fn begins(tag: u8) -> ProgramProgress {
+fn new_program(tag: u8) -> ProgramProgress {
     ProgramProgress {
         tag,
         initial_time_left: Some(Duration::from_secs(2)),
@@ -24,86 +24,92 @@
     }
 }
 
-fn begun(tag: u8) -> ProgramProgress {
+fn started(tag: u8) -> ProgramProgress {
     ProgramProgress {
         completed_turns: 1,
         generated_tokens: 256,
         time_left: Some(Duration::from_millis(1600)),
-        ..begins(tag)
+        ..new_program(tag)
     }
 }
 
 fn late(tag: u8) -> ProgramProgress {
     ProgramProgress {
         time_left: Some(Duration::from_millis(100)),
-        ..begun(tag)
+        ..started(tag)
     }
 }
 
 #[test]
-fn begun_programs_go_before_new_ones_and_urgent_routes_before_both() {
+fn started_programs_rank_before_new_ones_and_urgent_routes_before_both() {
     for tag in [0, 90, 255] {
-        assert!(turn_rank(URGENT, &begun(tag), &PACE) < turn_rank(URGENT, &begins(0), &PACE));
-        assert!(turn_rank(URGENT, &begins(255), &PACE) < turn_rank(ORDINARY, &begun(tag), &PACE));
+        assert!(
+            turn_rank(URGENT, &started(tag), &PACE) < turn_rank(URGENT, &new_program(0), &PACE)
+        );
+        assert!(
+            turn_rank(URGENT, &new_program(255), &PACE) < turn_rank(ORDINARY, &started(tag), &PACE)
+        );
     }
 }
 
 #[test]
-fn late_programs_go_after_those_in_time_and_before_new_ones() {
-    assert!(turn_rank(ORDINARY, &begun(255), &PACE) < turn_rank(ORDINARY, &late(0), &PACE));
-    assert!(turn_rank(ORDINARY, &late(255), &PACE) < turn_rank(ORDINARY, &begins(0), &PACE));
-    assert!(turn_rank(URGENT, &late(0), &PACE) < turn_rank(ORDINARY, &begun(0), &PACE));
+fn late_programs_rank_after_those_in_time_and_before_new_ones() {
+    assert!(turn_rank(ORDINARY, &started(255), &PACE) < turn_rank(ORDINARY, &late(0), &PACE));
+    assert!(turn_rank(ORDINARY, &late(255), &PACE) < turn_rank(ORDINARY, &new_program(0), &PACE));
+    assert!(turn_rank(URGENT, &late(0), &PACE) < turn_rank(ORDINARY, &started(0), &PACE));
 }
 
 #[test]
-fn new_programs_that_have_waited_too_long_go_last_of_their_class() {
-    let waited = ProgramProgress {
+fn new_programs_that_have_waited_too_long_rank_last_in_their_class() {
+    let waiting_long = ProgramProgress {
         time_left: Some(Duration::from_millis(500)),
-        ..begins(0)
+        ..new_program(0)
     };
-    assert!(turn_rank(URGENT, &begins(255), &PACE) < turn_rank(URGENT, &waited, &PACE));
-    assert!(turn_rank(URGENT, &waited, &PACE) < turn_rank(ORDINARY, &begun(0), &PACE));
+    assert!(turn_rank(URGENT, &new_program(255), &PACE) < turn_rank(URGENT, &waiting_long, &PACE));
+    assert!(turn_rank(URGENT, &waiting_long, &PACE) < turn_rank(ORDINARY, &started(0), &PACE));
 }
 
 #[test]
 fn first_turn_that_has_waited_too_long_counts_as_late() {
-    let waited = |left| ProgramProgress {
+    let waiting_long = |left| ProgramProgress {
         time_left: Some(Duration::from_millis(left)),
-        ..begins(0)
+        ..new_program(0)
     };
-    assert!(!waited(1900).is_late(&PACE));
-    assert!(!waited(1300).is_late(&PACE));
-    assert!(waited(1100).is_late(&PACE));
+    assert!(!waiting_long(1900).is_late(&PACE));
+    assert!(!waiting_long(1300).is_late(&PACE));
+    assert!(waiting_long(1100).is_late(&PACE));
 }
 
 #[test]
-fn time_spent_on_turns_is_not_lost() {
-    let far = ProgramProgress {
+fn time_spent_on_turns_does_not_count_as_lost() {
+    let advanced = ProgramProgress {
         completed_turns: 4,
         generated_tokens: 1024,
         time_left: Some(Duration::from_millis(400)),
-        ..begins(0)
+        ..new_program(0)
     };
-    assert!(!far.is_late(&PACE));
+    assert!(!advanced.is_late(&PACE));
     let stuck = ProgramProgress {
         completed_turns: 1,
         generated_tokens: 256,
-        ..far
+        ..advanced
     };
     assert!(stuck.is_late(&PACE));
 }
 
 #[test]
-fn without_a_deadline_nothing_is_late() {
+fn program_without_a_deadline_is_never_late() {
     assert!(!ProgramProgress::default().is_late(&PACE));
 }
 
 #[test]
-fn new_programs_are_parted_by_their_hash() {
-    assert!(turn_rank(URGENT, &begins(0), &PACE) < turn_rank(URGENT, &begins(255), &PACE));
+fn new_programs_are_grouped_by_their_hash() {
+    assert!(
+        turn_rank(URGENT, &new_program(0), &PACE) < turn_rank(URGENT, &new_program(255), &PACE)
+    );
     assert_eq!(
-        turn_rank(URGENT, &begins(0), &PACE),
-        turn_rank(URGENT, &begins(100), &PACE)
+        turn_rank(URGENT, &new_program(0), &PACE),
+        turn_rank(URGENT, &new_program(100), &PACE)
     );
 }
 
@@ -122,13 +128,15 @@
     }
 }
 
-/// An engine that serves the waiting turn with the lowest rank first, in the order of arrival among equals;
-/// returns how many programs of three turns end in time, where twice as many come as it can serve.
-fn ended_in_time(rank_of: impl Fn(u8, &ProgramProgress) -> u8) -> usize {
+/// Simulates an engine that serves the waiting turn with the lowest rank first, and equal ranks in the order of
+/// arrival.
+///
+/// Returns how many programs of three turns finish in time if twice as many arrive as the engine can serve.
+fn finished_in_time(rank_of: impl Fn(u8, &ProgramProgress) -> u8) -> usize {
     const TURN: u64 = 250;
     const SPARE: u64 = 500;
     struct Program {
-        came: u64,
+        arrived: u64,
         turns: u32,
         waits_since: u64,
         tag: u8,
@@ -139,21 +147,23 @@
         while next * 375 <= now && next < 100 {
             let tag = u8::try_from(next * 97 % 256).unwrap_or(0);
             waiting.push(Program {
-                came: next * 375,
+                arrived: next * 375,
                 turns: 0,
                 waits_since: next * 375,
                 tag,
             });
             next += 1;
         }
-        let whole = Duration::from_millis(3 * TURN + SPARE);
+        let total_time = Duration::from_millis(3 * TURN + SPARE);
         let key = |program: &Program| {
             let progress = ProgramProgress {
                 tag: program.tag,
                 completed_turns: program.turns,
                 generated_tokens: u64::from(program.turns) * 60,
-                initial_time_left: Some(whole),
-                time_left: Some(whole.saturating_sub(Duration::from_millis(now - program.came))),
+                initial_time_left: Some(total_time),
+                time_left: Some(
+                    total_time.saturating_sub(Duration::from_millis(now - program.arrived)),
+                ),
             };
             (rank_of(program.tag, &progress), program.waits_since)
         };
@@ -166,7 +176,7 @@
         program.turns += 1;
         program.waits_since = now;
         if program.turns == 3 {
-            in_time += usize::from(now - program.came <= 3 * TURN + SPARE);
+            in_time += usize::from(now - program.arrived <= 3 * TURN + SPARE);
             waiting.swap_remove(index);
         }
     }
@@ -174,17 +184,20 @@
 }
 
 #[test]
-fn under_twice_the_load_many_programs_still_end_in_time() {
-    let equal = ended_in_time(|_, _| 0);
-    let begun_first = ended_in_time(|_, progress| u8::from(!progress.has_begun()));
-    let ranked = ended_in_time(|_, progress| turn_rank(ORDINARY, progress, &PACE));
+fn under_double_load_many_programs_still_finish_in_time() {
+    let equal = finished_in_time(|_, _| 0);
+    let started_first = finished_in_time(|_, progress| u8::from(!progress.has_begun()));
+    let ranked = finished_in_time(|_, progress| turn_rank(ORDINARY, progress, &PACE));
     assert!(
         equal < 10,
         "in the order of arrival nearly all are late: {equal}"
     );
     assert!(
         ranked >= 25,
-        "of 100 programs the engine can carry 50: {ranked}"
+        "the engine can serve 50 of 100 programs: {ranked}"
+    );
+    assert!(
+        ranked > 2 * started_first,
+        "{ranked} against {started_first}"
     );
-    assert!(ranked > 2 * begun_first, "{ranked} against {begun_first}");
 }
--- a/crates/samphiregrade-gateway/tests/suite/run_table.rs
+++ b/crates/samphiregrade-gateway/tests/suite/run_table.rs
@@ -1,4 +1,4 @@
-//! What keepers account for at upstreams, and a burst on a large fleet that is placed by it.
+//! Accounts that keepers keep of upstreams, and a burst on a large fleet that is placed by these accounts.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -29,7 +29,7 @@
     }
 }
 
-fn question(upstreams: &[u64], prompt: &[PromptPart]) -> AccountQuery {
+fn query(upstreams: &[u64], prompt: &[PromptPart]) -> AccountQuery {
     AccountQuery {
         service: "engines".into(),
         upstreams: upstreams.to_vec(),
@@ -38,61 +38,61 @@
 }
 
 #[test]
-fn what_begins_and_ends_anywhere_is_counted() {
+fn run_starts_and_ends_are_counted() {
     let now = Instant::now();
     let mut table = RunTable::new(now);
     let prompt = [part(1, 12_000), part(2, 800)];
     table.begin(start(7, 1, &prompt), now);
     table.begin(start(7, 2, &prompt), now);
-    let told = table.answer(&question(&[7], &prompt), now);
-    assert_eq!((told[0].running, told[0].uncached), (2, 0));
+    let accounts = table.answer(&query(&[7], &prompt), now);
+    assert_eq!((accounts[0].running, accounts[0].uncached), (2, 0));
     table.end(RunEnd {
         upstream: 7,
         run: 1,
     });
-    let told = table.answer(&question(&[7], &[part(1, 12_000), part(3, 500)]), now);
-    assert_eq!((told[0].running, told[0].uncached), (1, 500));
+    let accounts = table.answer(&query(&[7], &[part(1, 12_000), part(3, 500)]), now);
+    assert_eq!((accounts[0].running, accounts[0].uncached), (1, 500));
 }
 
 #[test]
-fn a_run_whose_end_is_never_told_is_over_with_its_deadline() {
+fn run_without_a_reported_end_expires_with_its_deadline() {
     let now = Instant::now();
     let mut table = RunTable::new(now);
     table.begin(start(7, 1, &[]), now);
     let later = now + Duration::from_millis(2001);
-    assert_eq!(table.answer(&question(&[7], &[]), later)[0].running, 0);
+    assert_eq!(table.answer(&query(&[7], &[]), later)[0].running, 0);
 }
 
 #[test]
-fn an_end_that_is_told_twice_or_of_an_unknown_run_changes_nothing() {
+fn duplicate_or_unknown_run_ends_change_nothing() {
     let now = Instant::now();
     let mut table = RunTable::new(now);
     table.begin(start(7, 1, &[]), now);
     for (upstream, run) in [(7, 9), (8, 1)] {
         table.end(RunEnd { upstream, run });
     }
-    assert_eq!(table.answer(&question(&[7], &[]), now)[0].running, 1);
+    assert_eq!(table.answer(&query(&[7], &[]), now)[0].running, 1);
     for _ in 0..2 {
         table.end(RunEnd {
             upstream: 7,
             run: 1,
         });
     }
-    assert_eq!(table.answer(&question(&[7], &[]), now)[0].running, 0);
+    assert_eq!(table.answer(&query(&[7], &[]), now)[0].running, 0);
 }
 
 #[test]
-fn an_unknown_upstream_has_nothing_cached_and_the_keeper_says_how_long_it_listens() {
+fn unknown_upstream_has_an_empty_cache_and_the_account_states_the_observation_time() {
     let now = Instant::now();
     let mut table = RunTable::new(now);
     let later = now + Duration::from_secs(4);
-    let told = table.answer(&question(&[7], &[part(1, 900)]), later);
-    assert_eq!((told[0].running, told[0].uncached), (0, 900));
-    assert_eq!(told[0].informed, Duration::from_secs(4));
+    let accounts = table.answer(&query(&[7], &[part(1, 900)]), later);
+    assert_eq!((accounts[0].running, accounts[0].uncached), (0, 900));
+    assert_eq!(accounts[0].informed, Duration::from_secs(4));
 }
 
 #[test]
-fn some_others_of_the_service_that_have_room_are_told_of() {
+fn reply_includes_other_upstreams_with_free_capacity() {
     let now = Instant::now();
     let mut table = RunTable::new(now);
     for upstream in 0..20 {
@@ -100,21 +100,25 @@
             table.begin(start(upstream, run, &[]), now);
         }
     }
-    let foreign = RunStart {
+    let other_service = RunStart {
         service: "others".into(),
         ..start(99, 1, &[])
     };
-    table.begin(foreign, now);
-    let told = table.answer(&question(&[19], &[]), now);
-    let tags: Vec<u64> = told.iter().map(|account| account.upstream).collect();
+    table.begin(other_service, now);
+    let accounts = table.answer(&query(&[19], &[]), now);
+    let tags: Vec<u64> = accounts.iter().map(|account| account.upstream).collect();
     assert_eq!(tags, [19, 0, 1, 2]);
     let later = now + Duration::from_secs(30);
-    let told = table.answer(&question(&[19], &[]), later);
-    assert_eq!(told.len(), 1, "what has got nothing for long may have left");
+    let accounts = table.answer(&query(&[19], &[]), later);
+    assert_eq!(
+        accounts.len(),
+        1,
+        "an upstream without recent requests may have left"
+    );
 }
 
 #[test]
-fn a_keepers_word_takes_the_place_of_an_old_view() {
+fn keeper_account_replaces_an_older_view() {
     let account = UpstreamAccount {
         upstream: 1,
         running: 5,
@@ -133,7 +137,7 @@
     assert_eq!((informed.load, informed.uncached_tokens), (5.0, 700));
     informed.apply_account(&account, 8, false);
     assert!((informed.load - 8.0).abs() < f64::EPSILON, "own requests");
-    // A keeper that has just started hasn't heard of what runs since before.
+    // A keeper that has just started doesn't know of runs that started before.
     let fresh = UpstreamAccount {
         running: 0,
         uncached: 700,
@@ -155,7 +159,7 @@
 }
 
 #[test]
-fn two_keepers_of_two_domains_account_for_an_upstream_and_share_the_work() {
+fn two_keepers_in_different_domains_account_for_each_upstream() {
     let keepers = placement(5, 24);
     let mut work = [0; 24];
     for upstream in 0..4800_u64 {
@@ -175,10 +179,10 @@
     assert!(KeeperPlacement::default().account_slots(3).is_empty());
 }
 
-/// Numbers that look drawn and are the same in every run.
-struct Draws(u64);
+/// Reproducible pseudo-random numbers.
+struct PseudoRandom(u64);
 
-impl Draws {
+impl PseudoRandom {
     fn next(&mut self) -> u64 {
         self.0 = self
             .0
@@ -197,24 +201,24 @@
     }
 }
 
-/// Something that happens in the played burst.
+/// An event in the simulated burst.
 #[derive(Clone, Debug)]
 enum BurstEvent {
     Placed {
         engine: u64,
         prompt: Vec<PromptPart>,
     },
-    Told(RunStart),
-    Over(RunEnd),
-    ToldOver(RunEnd),
+    StartReported(RunStart),
+    Ended(RunEnd),
+    EndReported(RunEnd),
 }
 
-/// Engines of a large fleet that take turns, and the keepers that account for them.
-struct PlayedFleet {
+/// Simulated engines of a large fleet that run turns, and the keepers that keep their accounts.
+struct SimulatedFleet {
     engines: Vec<u64>,
     placement: KeeperPlacement,
     tables: Vec<RunTable>,
-    /// What really runs.
+    /// Actual number of running requests for each engine.
     running: BTreeMap<u64, u32>,
     placed: BTreeMap<u64, u32>,
     most_running: u32,
@@ -224,15 +228,15 @@
 const ENGINES: u64 = 49;
 const SLOTS: u32 = 6;
 const FIRST_PARTS: u64 = 16;
-/// From an entry to a keeper in another failure domain, and the time in which a turn's reservation is stored.
-const NOTICE: Duration = Duration::from_millis(2);
-const PLACING: Duration = Duration::from_millis(4);
-/// The keepers have listened for a while.
-const INFORMED: Duration = Duration::from_mins(1);
-const HOLD: Duration = Duration::from_millis(160);
+/// Time from an entry to a keeper in another failure domain, and time for storing a turn's reservation.
+const REPORT_DELAY: Duration = Duration::from_millis(2);
+const RESERVATION_DELAY: Duration = Duration::from_millis(4);
+/// Time for which the keepers have received run starts.
+const OBSERVATION_TIME: Duration = Duration::from_mins(1);
+const SLOT_TIME: Duration = Duration::from_millis(160);
 
-impl PlayedFleet {
-    /// Starts with keepers that listen from a moment on.
+impl SimulatedFleet {
+    /// Returns a fleet whose keepers receive run starts from `since` on.
     fn new(since: Instant) -> Self {
         let engines: Vec<u64> = (0..ENGINES)
             .map(|index| (index + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
@@ -248,7 +252,7 @@
         }
     }
 
-    /// Asks the keepers as an entry does, and chooses.
+    /// Queries the keepers as an entry does, and selects an engine.
     fn choose(&mut self, prompt: &[PromptPart], now: Instant, draw: f64) -> u64 {
         let part = SharedPrefix {
             tag: prompt[0].tag,
@@ -257,12 +261,12 @@
             capacity: CAPACITY,
         };
         let homes = rank_homes(&part, &self.engines);
-        let marked = homes.homes().to_vec();
+        let home_indices = homes.homes().to_vec();
         let mut accounts: Vec<UpstreamAccount> = Vec::new();
         for index in homes.sample(5, 2, &mut self.random) {
             let engine = self.engines[index];
             let slot = self.placement.account_slots(engine)[0];
-            accounts.extend(self.tables[slot].answer(&question(&[engine], prompt), now));
+            accounts.extend(self.tables[slot].answer(&query(&[engine], prompt), now));
         }
         let candidates: Vec<Candidate> = accounts
             .iter()
@@ -275,7 +279,7 @@
                     .engines
                     .iter()
                     .position(|&engine| engine == account.upstream);
-                let home = index.is_some_and(|index| marked.contains(&index));
+                let home = index.is_some_and(|index| home_indices.contains(&index));
                 candidate.apply_account(account, 0, home);
                 candidate
             })
@@ -285,10 +289,10 @@
             prefill_rate: 247.0,
             on_engine: true,
         };
-        accounts[choose_upstream(&candidates, &work, draw).expect("a choice")].upstream
+        accounts[choose_upstream(&candidates, &work, draw).expect("a candidate")].upstream
     }
 
-    fn take(&mut self, event: BurstEvent, now: Instant) -> Vec<(Instant, BurstEvent)> {
+    fn apply(&mut self, event: BurstEvent, now: Instant) -> Vec<(Instant, BurstEvent)> {
         match event {
             BurstEvent::Placed { engine, prompt } => {
                 let running = self.running.get_mut(&engine).expect("an engine");
@@ -300,23 +304,23 @@
                     upstream: engine,
                     run,
                 };
-                let told = start(engine, run, &prompt);
+                let report = start(engine, run, &prompt);
                 vec![
-                    (now + NOTICE, BurstEvent::Told(told)),
-                    (now + HOLD, BurstEvent::Over(end)),
+                    (now + REPORT_DELAY, BurstEvent::StartReported(report)),
+                    (now + SLOT_TIME, BurstEvent::Ended(end)),
                 ]
             }
-            BurstEvent::Told(told) => {
-                for slot in self.placement.account_slots(told.upstream) {
-                    self.tables[slot].begin(told.clone(), now);
+            BurstEvent::StartReported(report) => {
+                for slot in self.placement.account_slots(report.upstream) {
+                    self.tables[slot].begin(report.clone(), now);
                 }
                 Vec::new()
             }
-            BurstEvent::Over(end) => {
+            BurstEvent::Ended(end) => {
                 *self.running.get_mut(&end.upstream).expect("an engine") -= 1;
-                vec![(now + NOTICE, BurstEvent::ToldOver(end))]
+                vec![(now + REPORT_DELAY, BurstEvent::EndReported(end))]
             }
-            BurstEvent::ToldOver(end) => {
+            BurstEvent::EndReported(end) => {
                 for slot in self.placement.account_slots(end.upstream) {
                     self.tables[slot].end(end);
                 }
@@ -327,14 +331,14 @@
 }
 
 #[test]
-fn a_doubled_burst_of_many_entries_spreads_over_all_engines() {
-    // 171 entries place 1,150 turns a second on 49 engines, twice the usual. Every entry sends seven of them, so that
-    // by its own answers it hears of an engine once in seven seconds; placed by that, the busiest engine had 1.5 times
-    // the mean and one turn in ten was put back (docs/design/accounts.md).
+fn doubled_burst_from_many_entries_spreads_over_all_engines() {
+    // 171 entries place 1,150 turns a second on 49 engines, twice the usual rate. Each entry sends seven of them, so by
+    // its own responses it receives an engine's load once in seven seconds. Placed by these loads, the busiest engine
+    // had 1.5 times the mean and one turn in ten was put back (docs/design/accounts.md).
     let since = Instant::now();
-    let mut fleet = PlayedFleet::new(since);
-    let mut now = since + INFORMED;
-    let mut draws = Draws(7);
+    let mut fleet = SimulatedFleet::new(since);
+    let mut now = since + OBSERVATION_TIME;
+    let mut draws = PseudoRandom(7);
     let mut events: BTreeMap<(Instant, u64), BurstEvent> = BTreeMap::new();
     let mut number = 0;
     let mut add = |events: &mut BTreeMap<(Instant, u64), BurstEvent>, at, event| {
@@ -349,7 +353,7 @@
                 break;
             }
             let event = entry.remove();
-            for (later, event) in fleet.take(event, at) {
+            for (later, event) in fleet.apply(event, at) {
                 add(&mut events, later, event);
             }
         }
@@ -360,17 +364,17 @@
         let engine = fleet.choose(&prompt, now, draws.share());
         add(
             &mut events,
-            now + PLACING,
+            now + RESERVATION_DELAY,
             BurstEvent::Placed { engine, prompt },
         );
     }
     let mean = 6000.0 / f64::from(u32::try_from(ENGINES).unwrap_or(u32::MAX));
     let busiest = f64::from(*fleet.placed.values().max().expect("engines"));
     assert!(busiest < 1.2 * mean, "busiest {busiest}, mean {mean}");
-    let full = SLOTS + 18;
+    let capacity = SLOTS + 18;
     assert!(
-        fleet.most_running < full / 2,
-        "{} at one",
+        fleet.most_running < capacity / 2,
+        "{} on one engine",
         fleet.most_running
     );
 }
--- a/crates/samphiregrade-gateway/tests/suite/service_times.rs
+++ b/crates/samphiregrade-gateway/tests/suite/service_times.rs
@@ -1,4 +1,4 @@
-//! Times of a service, learned from its answers.
+//! Times of a service, estimated from its responses.
 
 use std::time::Duration;
 
@@ -7,30 +7,30 @@
     AnsweredRequest, Candidate, RunningMedian, ServiceTimes, WorkEstimate, choose_upstream,
 };
 
-/// An engine as its turns show it.
-struct PlayedEngine {
+/// A simulated engine.
+struct SimulatedEngine {
     head: f64,
     prefill_rate: f64,
     token: f64,
 }
 
-const FAST: PlayedEngine = PlayedEngine {
+const FAST: SimulatedEngine = SimulatedEngine {
     head: 10.0,
     prefill_rate: 247.0,
     token: 0.8,
 };
 
-const SLOW: PlayedEngine = PlayedEngine {
+const SLOW: SimulatedEngine = SimulatedEngine {
     head: 20.0,
     prefill_rate: 30.0,
     token: 6.0,
 };
 
-impl PlayedEngine {
-    /// Answers a turn that finds other turns at the engine and so takes some time more.
-    fn turn(&self, uncached: u32, made: u32, share_more: f64) -> AnsweredRequest {
-        let first = (self.head + f64::from(uncached) / self.prefill_rate) * (1.0 + share_more);
-        let total = first + f64::from(made) * self.token * (1.0 + share_more);
+impl SimulatedEngine {
+    /// Returns the measurements of a turn; `share_more` is the share of extra time due to other turns on the engine.
+    fn turn(&self, uncached: u32, made: u32, extra_share: f64) -> AnsweredRequest {
+        let first = (self.head + f64::from(uncached) / self.prefill_rate) * (1.0 + extra_share);
+        let total = first + f64::from(made) * self.token * (1.0 + extra_share);
         AnsweredRequest {
             uncached,
             generated_tokens: made,
@@ -39,13 +39,13 @@
         }
     }
 
-    fn learned(&self, turns: u32) -> ServiceTimes {
+    fn estimated_times(&self, turns: u32) -> ServiceTimes {
         let mut times = ServiceTimes::of_engine();
         for number in 0..turns {
             let uncached = [120, 2_600, 250, 1_400, 600, 3_900][number as usize % 6];
-            let more = [0.0, 0.1, 0.3][number as usize % 3];
-            times.note(&self.turn(uncached, 33, more));
-            // One in twelve meets a fault and takes seconds.
+            let extra = [0.0, 0.1, 0.3][number as usize % 3];
+            times.note(&self.turn(uncached, 33, extra));
+            // One turn in twelve hits a fault and takes seconds.
             if number % 12 == 0 {
                 times.note(&self.turn(uncached, 33, 50.0));
             }
@@ -54,23 +54,23 @@
     }
 }
 
-fn is_near(value: f64, wanted: f64) -> bool {
+fn is_close(value: f64, wanted: f64) -> bool {
     value > wanted * 0.6 && value < wanted * 1.5
 }
 
 #[test]
-fn engines_of_two_speeds_are_learned_within_dozens_of_turns_through_faults() {
+fn fast_and_slow_engines_are_estimated_within_dozens_of_turns_despite_faults() {
     for engine in [FAST, SLOW] {
-        let times = engine.learned(60);
+        let times = engine.estimated_times(60);
         let token = times.token().as_secs_f64() * 1000.0;
-        assert!(is_near(token, engine.token), "{token}");
+        assert!(is_close(token, engine.token), "{token}");
         let rate = times.prefill_rate();
-        assert!(is_near(rate, engine.prefill_rate), "{rate}");
+        assert!(is_close(rate, engine.prefill_rate), "{rate}");
     }
 }
 
 #[test]
-fn slow_reading_keeps_turns_at_their_cached_prompts() {
+fn slow_prefill_keeps_turns_at_their_cached_prompts() {
     let cached = Candidate {
         load: 12.0,
         slots: 24.0,
@@ -81,8 +81,8 @@
         uncached_tokens: 2_500,
         ..cached
     };
-    let choose = |engine: &PlayedEngine| {
-        let times = engine.learned(60);
+    let choose = |engine: &SimulatedEngine| {
+        let times = engine.estimated_times(60);
         let work = WorkEstimate {
             slot_milliseconds: times.slot_time().as_secs_f64() * 1000.0,
             prefill_rate: times.prefill_rate(),
@@ -91,12 +91,13 @@
         choose_upstream(&[cached, empty], &work, 0.0)
     };
     assert_eq!(choose(&SLOW), Some(0));
-    // Where prompts are read fast, an idle engine is worth reading one again only in a longer batch.
+    // If prompts are processed fast, an idle engine is worth processing a cached prompt again only if the batch is
+    // larger.
     let longer = Candidate {
         load: 30.0,
         ..cached
     };
-    let times = FAST.learned(60);
+    let times = FAST.estimated_times(60);
     let work = WorkEstimate {
         slot_milliseconds: times.slot_time().as_secs_f64() * 1000.0,
         prefill_rate: times.prefill_rate(),
@@ -119,7 +120,7 @@
 }
 
 #[test]
-fn any_samples_leave_a_median_within_its_bounds() {
+fn any_samples_keep_a_median_within_its_bounds() {
     fn bounded(samples: Vec<f64>) -> bool {
         let mut median = RunningMedian::new(5.0, 1.0, 10.0);
         for sample in samples {
@@ -131,20 +132,20 @@
 }
 
 #[test]
-fn any_answers_leave_sound_times() {
-    fn sound(answers: Vec<(u32, u32, u32, u32)>) -> bool {
+fn any_measurements_leave_valid_times() {
+    fn valid(answers: Vec<(u32, u32, u32, u32)>) -> bool {
         let mut times = ServiceTimes::of_plain();
-        for (uncached, made, first, more) in answers {
+        for (uncached, made, first, extra) in answers {
             let first = Duration::from_micros(u64::from(first));
             times.note(&AnsweredRequest {
                 uncached,
                 generated_tokens: made,
                 time_to_head: first,
-                total: first + Duration::from_micros(u64::from(more)),
+                total: first + Duration::from_micros(u64::from(extra)),
             });
         }
         let rate = times.prefill_rate();
         rate.is_finite() && rate >= 1.0 && times.slot_time() > Duration::ZERO
     }
-    quickcheck(sound as fn(Vec<(u32, u32, u32, u32)>) -> bool);
+    quickcheck(valid as fn(Vec<(u32, u32, u32, u32)>) -> bool);
 }
--- a/crates/samphiregrade-gateway/tests/suite/upstreams.rs
+++ b/crates/samphiregrade-gateway/tests/suite/upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams that come, drain, lapse and come back.
+//! Upstreams that register, drain, expire and return.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,7 +8,7 @@
 
 const DRAIN: Duration = Duration::from_secs(2);
 
-fn entry(id: &str, state: UpstreamState) -> UpstreamRecord {
+fn record(id: &str, state: UpstreamState) -> UpstreamRecord {
     UpstreamRecord {
         id: id.into(),
         started: None,
@@ -21,11 +21,11 @@
     }
 }
 
-/// An entry of an upstream that started at a time, with everything else as ever.
+/// Returns a record of an upstream that started at a time.
 fn started(id: &str, started: u64) -> UpstreamRecord {
     UpstreamRecord {
         started: Some(started),
-        ..entry(id, UpstreamState::Ready)
+        ..record(id, UpstreamState::Ready)
     }
 }
 
@@ -48,39 +48,41 @@
 }
 
 #[test]
-fn draining_upstream_gets_nothing_at_once() {
+fn draining_upstream_immediately_gets_no_more_requests() {
     let now = Instant::now();
     let mut registry = UpstreamRegistry::new(DepartureRule::for_drain(DRAIN));
-    registry.put(entry("i-1", UpstreamState::Ready), now);
-    registry.put(entry("i-2", UpstreamState::Ready), now);
-    registry.put(entry("i-1", UpstreamState::Draining), now);
+    registry.put(record("i-1", UpstreamState::Ready), now);
+    registry.put(record("i-2", UpstreamState::Ready), now);
+    registry.put(record("i-1", UpstreamState::Draining), now);
     assert_eq!(usable(&registry), ["i-2"]);
 }
 
 #[test]
-fn upstream_without_entry_is_dropped_within_the_time_for_draining() {
+fn upstream_without_record_is_dropped_within_the_drain_time() {
     let now = Instant::now();
     let mut registry = UpstreamRegistry::new(DepartureRule::for_drain(DRAIN));
-    registry.put(entry("i-1", UpstreamState::Ready), now);
+    registry.put(record("i-1", UpstreamState::Ready), now);
     registry.remove(&"i-1".into(), now);
-    let due = registry.drop_departed(now).expect("a time to look again");
+    let due = registry
+        .drop_departed(now)
+        .expect("a time for the next call");
     assert!(due < now + DRAIN);
     registry.drop_departed(due);
     assert!(usable(&registry).is_empty());
 }
 
 #[test]
-fn lapsed_entries_have_time_to_come_back_after_an_outage() {
+fn expired_records_have_time_to_return_after_an_outage() {
     let now = Instant::now();
     let mut registry = UpstreamRegistry::new(DepartureRule::for_drain(DRAIN));
-    registry.put(entry("i-1", UpstreamState::Ready), now);
-    registry.put(entry("i-2", UpstreamState::Ready), now);
+    registry.put(record("i-1", UpstreamState::Ready), now);
+    registry.put(record("i-2", UpstreamState::Ready), now);
     registry.record_store_outage(now);
     registry.replace(Vec::new(), now);
     registry.drop_departed(now + Duration::from_millis(1900));
     assert_eq!(usable(&registry).len(), 2);
     registry.put(
-        entry("i-1", UpstreamState::Ready),
+        record("i-1", UpstreamState::Ready),
         now + Duration::from_secs(2),
     );
     registry.drop_departed(now + Duration::from_millis(2300));
@@ -88,10 +90,10 @@
 }
 
 #[test]
-fn load_counts_own_requests_and_fades_others() {
+fn load_counts_own_requests_and_decays_those_of_others() {
     let now = Instant::now();
     let upstream = std::sync::Arc::new(Upstream::new(
-        entry("i-1", UpstreamState::Ready),
+        record("i-1", UpstreamState::Ready),
         std::sync::Arc::default(),
         now,
     ));
@@ -109,16 +111,16 @@
 }
 
 #[test]
-fn silent_failure_domain_costs_at_all_of_its_upstreams() {
+fn unresponsive_failure_domain_adds_a_penalty_to_all_its_upstreams() {
     let now = Instant::now();
     let mut registry = UpstreamRegistry::new(DepartureRule::for_drain(DRAIN));
-    let far = |id: &str| UpstreamRecord {
+    let in_other_domain = |id: &str| UpstreamRecord {
         domain: "b".into(),
-        ..entry(id, UpstreamState::Ready)
+        ..record(id, UpstreamState::Ready)
     };
-    registry.put(entry("i-1", UpstreamState::Ready), now);
-    registry.put(far("i-2"), now);
-    registry.put(far("i-3"), now);
+    registry.put(record("i-1", UpstreamState::Ready), now);
+    registry.put(in_other_domain("i-2"), now);
+    registry.put(in_other_domain("i-3"), now);
     let directory = registry.directory().load_full();
     let upstreams = directory.of("engines");
     let later = now + Duration::from_millis(500);
@@ -136,7 +138,7 @@
 }
 
 #[test]
-fn upstream_that_started_again_holds_nothing_of_before() {
+fn restarted_upstream_has_no_earlier_state() {
     let now = Instant::now();
     let mut registry = UpstreamRegistry::new(DepartureRule::for_drain(DRAIN));
     registry.put(started("i-1", 1000), now);
@@ -153,61 +155,70 @@
         slots: 8,
     };
     before.note_load(load, now);
-    let again = UpstreamRecord {
+    let restarted = UpstreamRecord {
         slots: 4,
         ..started("i-1", 2000)
     };
-    registry.put(again, now);
+    registry.put(restarted, now);
     let after = only(&registry);
     let candidate = after.candidate(after.load(now), &prompt, false, &"a".into(), now);
     assert_eq!(candidate.uncached_tokens, 900);
     assert!(candidate.load < 0.01 && after.is_breaker_closed(now));
     assert!((candidate.slots - 4.0).abs() < 0.01);
-    assert!(!before.takes_requests(), "who still holds it sends nothing");
+    assert!(
+        !before.takes_requests(),
+        "a task that still holds the old upstream sends nothing"
+    );
 }
 
-/// Returns whether an answer that is silent is given up soon.
-async fn is_given_up(upstream: &Upstream) -> bool {
-    let lost = upstream.wait_until_unreachable(Duration::from_millis(20));
-    tokio::time::timeout(Duration::from_millis(200), lost)
+/// Returns whether a stalled response is abandoned soon.
+async fn is_abandoned(upstream: &Upstream) -> bool {
+    let abandoned = upstream.wait_until_unreachable(Duration::from_millis(20));
+    tokio::time::timeout(Duration::from_millis(200), abandoned)
         .await
         .is_ok()
 }
 
 #[tokio::test]
-async fn silent_answer_is_given_up_where_its_path_was_found_to_be_cut() {
+async fn stalled_response_is_abandoned_if_its_domain_is_unreachable() {
     let now = Instant::now();
     let mut registry = UpstreamRegistry::new(DepartureRule::for_drain(DRAIN));
-    registry.put(entry("i-1", UpstreamState::Ready), now);
+    registry.put(record("i-1", UpstreamState::Ready), now);
     let upstream = only(&registry);
-    assert!(!is_given_up(&upstream).await, "silence alone is no reason");
+    assert!(
+        !is_abandoned(&upstream).await,
+        "a stalled response alone is no reason"
+    );
     upstream.mark_domain_unreachable(Instant::now());
-    assert!(is_given_up(&upstream).await);
+    assert!(is_abandoned(&upstream).await);
     upstream.record_domain_response(Instant::now());
-    assert!(!is_given_up(&upstream).await, "the way is open again");
+    assert!(
+        !is_abandoned(&upstream).await,
+        "the domain is reachable again"
+    );
 }
 
 #[test]
-fn entry_of_a_start_that_is_over_says_nothing() {
+fn record_of_an_earlier_start_is_ignored() {
     let now = Instant::now();
     let mut registry = UpstreamRegistry::new(DepartureRule::for_drain(DRAIN));
     registry.put(started("i-1", 2000), now);
-    let late = UpstreamRecord {
+    let outdated = UpstreamRecord {
         state: UpstreamState::Draining,
         ..started("i-1", 1000)
     };
-    registry.put(late, now);
+    registry.put(outdated, now);
     assert!(only(&registry).takes_requests());
 }
 
 #[test]
-fn same_start_keeps_what_is_known_of_it() {
+fn record_of_the_same_start_keeps_the_known_state() {
     let now = Instant::now();
     let mut registry = UpstreamRegistry::new(DepartureRule::for_drain(DRAIN));
     registry.put(started("i-1", 1000), now);
     let before = only(&registry);
     registry.put(started("i-1", 1000), now);
-    registry.put(entry("i-1", UpstreamState::Ready), now);
+    registry.put(record("i-1", UpstreamState::Ready), now);
     assert!(Arc::ptr_eq(&before, &only(&registry)));
 }
 
@@ -215,35 +226,37 @@
 fn known_id_with_another_address_or_service_is_another_upstream() {
     let now = Instant::now();
     let mut registry = UpstreamRegistry::new(DepartureRule::for_drain(DRAIN));
-    registry.put(entry("i-1", UpstreamState::Ready), now);
+    registry.put(record("i-1", UpstreamState::Ready), now);
     let moved = UpstreamRecord {
         address: "127.0.0.1:10".parse().expect("an address"),
-        ..entry("i-1", UpstreamState::Ready)
+        ..record("i-1", UpstreamState::Ready)
     };
     registry.put(moved.clone(), now);
     assert_eq!(only(&registry).record.address, moved.address);
-    let lent = UpstreamRecord {
+    let moved_service = UpstreamRecord {
         service: "tools".into(),
         ..moved
     };
-    registry.put(lent, now);
+    registry.put(moved_service, now);
     assert!(usable(&registry).is_empty());
     assert_eq!(registry.directory().load().of("tools").len(), 1);
 }
 
 #[test]
-fn rejected_entry_names_no_upstream_until_it_can_be_read_again() {
+fn rejected_record_removes_the_upstream_until_a_valid_one_arrives() {
     let now = Instant::now();
     let mut registry = UpstreamRegistry::new(DepartureRule::for_drain(DRAIN));
-    registry.put(entry("i-1", UpstreamState::Ready), now);
-    registry.put(entry("i-2", UpstreamState::Ready), now);
+    registry.put(record("i-1", UpstreamState::Ready), now);
+    registry.put(record("i-2", UpstreamState::Ready), now);
     registry.reject(&"i-1".into(), now);
     assert_eq!(usable(&registry), ["i-2"]);
-    registry.put(entry("i-1", UpstreamState::Ready), now);
+    registry.put(record("i-1", UpstreamState::Ready), now);
     assert_eq!(usable(&registry), ["i-1", "i-2"]);
     registry.reject(&"i-1".into(), now);
-    let due = registry.drop_departed(now).expect("a time to look again");
+    let due = registry
+        .drop_departed(now)
+        .expect("a time for the next call");
     registry.drop_departed(due);
-    registry.put(entry("i-1", UpstreamState::Ready), due);
+    registry.put(record("i-1", UpstreamState::Ready), due);
     assert_eq!(usable(&registry), ["i-1", "i-2"]);
 }
