--- a/crates/samphiregrade-gateway/src/fact/accounts.rs
+++ b/crates/samphiregrade-gateway/src/fact/accounts.rs
@@ -1,83 +1,86 @@
-//! Asking and telling the keepers that account for upstreams.
+//! Exchange of run reports and upstream accounts with the keepers that hold the accounts.
 
 use std::time::{Duration, Instant};
 
 use tokio::sync::mpsc;
 
-use super::client::{ASK_TIMEOUT, KeeperClient};
+use super::client::{KeeperClient, REQUEST_TIMEOUT};
 use super::message::{KeeperReply, KeeperRequest};
 use super::placement::{KeeperPlacement, KeeperSlot};
 use crate::model::UpstreamTag;
 use crate::upstream::{AccountQuery, RunEnd, RunStart, UpstreamAccount};
 
-/// A keeper with the upstreams that it is asked about.
-struct AccountErrand {
+/// A keeper and the upstreams whose accounts are requested from it.
+struct KeeperQuery {
     slot: KeeperSlot,
     upstreams: Vec<UpstreamTag>,
 }
 
 impl KeeperClient {
-    /// Tells an upstream's keepers that a request is about to be sent there.
+    /// Reports to an upstream's keepers that a request is about to be sent to the upstream.
     pub fn report_run_start(&self, start: RunStart) {
-        self.tell_accountants(start.upstream, &KeeperRequest::RunBegan(start));
+        self.send_to_account_keepers(start.upstream, &KeeperRequest::RunBegan(start));
     }
 
-    /// Tells an upstream's keepers that a request is over there.
+    /// Reports to an upstream's keepers that a request at the upstream has ended.
     pub fn report_run_end(&self, end: RunEnd) {
-        self.tell_accountants(end.upstream, &KeeperRequest::RunEnded(end));
+        self.send_to_account_keepers(end.upstream, &KeeperRequest::RunEnded(end));
     }
 
-    /// Asks how upstreams stand; resolves after the time at the latest, with what has come by then.
+    /// Requests the accounts of upstreams; resolves after `wait` at the latest, with the accounts received by then.
     pub async fn query_accounts(
         &self,
-        question: &AccountQuery,
+        query: &AccountQuery,
         wait: Duration,
     ) -> Vec<UpstreamAccount> {
         let placement = self.placement.load_full();
-        let errands = self.account_errands(&placement, &question.upstreams);
-        let (sender, mut replies) = mpsc::channel(errands.len().max(1));
-        for errand in errands {
+        let keeper_queries = self.assign_to_keepers(&placement, &query.upstreams);
+        let (sender, mut replies) = mpsc::channel(keeper_queries.len().max(1));
+        for keeper_query in keeper_queries {
             let client = self.clone();
             let placement = placement.clone();
             let sender = sender.clone();
             let request = KeeperRequest::Accounts(AccountQuery {
-                service: question.service.clone(),
-                upstreams: errand.upstreams,
-                prompt: question.prompt.clone(),
+                service: query.service.clone(),
+                upstreams: keeper_query.upstreams,
+                prompt: query.prompt.clone(),
             });
             tokio::spawn(async move {
                 let reply = client
-                    .ask(errand.slot, &placement, request, ASK_TIMEOUT)
+                    .call(keeper_query.slot, &placement, request, REQUEST_TIMEOUT)
                     .await;
-                // The asker may have stopped waiting.
+                // The receiver is gone if the caller has stopped waiting.
                 let _ = sender.send(reply).await;
             });
         }
         drop(sender);
-        let mut known: Vec<UpstreamAccount> = Vec::new();
-        let due = Instant::now() + wait;
-        while let Ok(Some(reply)) = tokio::time::timeout_at(due.into(), replies.recv()).await {
+        let mut received: Vec<UpstreamAccount> = Vec::new();
+        let deadline = Instant::now() + wait;
+        while let Ok(Some(reply)) = tokio::time::timeout_at(deadline.into(), replies.recv()).await {
             let Some(KeeperReply::Accounts { accounts, .. }) = reply else {
                 continue;
             };
             for account in accounts {
-                if known.iter().all(|other| other.upstream != account.upstream) {
-                    known.push(account);
+                if received
+                    .iter()
+                    .all(|other| other.upstream != account.upstream)
+                {
+                    received.push(account);
                 }
             }
         }
-        known
+        received
     }
 
-    fn tell_accountants(&self, upstream: UpstreamTag, request: &KeeperRequest) {
+    fn send_to_account_keepers(&self, upstream: UpstreamTag, request: &KeeperRequest) {
         let placement = self.placement.load_full();
-        for slot in self.accountants_within_reach(&placement, upstream) {
-            self.tell_keeper(slot, &placement, request.clone());
+        for slot in self.reachable_account_keepers(&placement, upstream) {
+            self.send_to_keeper(slot, &placement, request.clone());
         }
     }
 
-    /// Tells a keeper something that nobody waits for.
-    pub(super) fn tell_keeper(
+    /// Sends a one-way request: no reply is awaited.
+    pub(super) fn send_to_keeper(
         &self,
         slot: &KeeperSlot,
         placement: &KeeperPlacement,
@@ -89,8 +92,8 @@
         }
     }
 
-    /// Returns the keepers within reach that account for what has a tag: an upstream, or an organisation's limit.
-    pub(super) fn accountants_within_reach<'placement>(
+    /// Returns the reachable keepers that hold the account of a tag: of an upstream, or of an organisation's limit.
+    pub(super) fn reachable_account_keepers<'placement>(
         &self,
         placement: &'placement KeeperPlacement,
         tag: u64,
@@ -99,42 +102,44 @@
         let mut slots = Vec::with_capacity(2);
         for index in placement.account_slots(tag) {
             let slot = &placement.slots[index];
-            if self.health.is_within_reach(&slot.name, now) {
+            if self.health.is_reachable(&slot.name, now) {
                 slots.push(slot);
             }
         }
         slots
     }
 
-    /// Divides upstreams among the keepers that account for them: those of the own failure domain first, then those
-    /// that are asked anyway.
-    fn account_errands(
+    /// Assigns each upstream to one keeper that holds its account: one in the own failure domain if there is one,
+    /// otherwise one that already receives a query, otherwise any.
+    fn assign_to_keepers(
         &self,
         placement: &KeeperPlacement,
         upstreams: &[UpstreamTag],
-    ) -> Vec<AccountErrand> {
-        let mut errands: Vec<AccountErrand> = Vec::new();
+    ) -> Vec<KeeperQuery> {
+        let mut keeper_queries: Vec<KeeperQuery> = Vec::new();
         for &upstream in upstreams {
-            let slots = self.accountants_within_reach(placement, upstream);
-            let near = slots.iter().find(|slot| slot.domain == self.own.domain);
-            let asked = slots
-                .iter()
-                .find(|slot| errands.iter().any(|errand| errand.slot.name == slot.name));
-            let Some(slot) = near.or(asked).or(slots.first()) else {
+            let slots = self.reachable_account_keepers(placement, upstream);
+            let local = slots.iter().find(|slot| slot.domain == self.own.domain);
+            let shared = slots.iter().find(|slot| {
+                keeper_queries
+                    .iter()
+                    .any(|keeper_query| keeper_query.slot.name == slot.name)
+            });
+            let Some(slot) = local.or(shared).or(slots.first()) else {
                 continue;
             };
-            let errand = errands
+            let keeper_query = keeper_queries
                 .iter_mut()
-                .find(|errand| errand.slot.name == slot.name);
-            if let Some(errand) = errand {
-                errand.upstreams.push(upstream);
+                .find(|keeper_query| keeper_query.slot.name == slot.name);
+            if let Some(keeper_query) = keeper_query {
+                keeper_query.upstreams.push(upstream);
                 continue;
             }
-            errands.push(AccountErrand {
+            keeper_queries.push(KeeperQuery {
                 slot: KeeperSlot::clone(slot),
                 upstreams: vec![upstream],
             });
         }
-        errands
+        keeper_queries
     }
 }
--- a/crates/samphiregrade-gateway/src/fact/allowances.rs
+++ b/crates/samphiregrade-gateway/src/fact/allowances.rs
@@ -1,4 +1,4 @@
-//! Asking an organisation's home for tokens of its limit.
+//! Requests for tokens of an organisation's limit, sent to the keeper that is the organisation's home.
 
 use std::time::Duration;
 
@@ -7,48 +7,50 @@
 use super::placement::{KeeperPlacement, KeeperSlot};
 use crate::limits::{AllowanceGrant, AllowanceRequest};
 
-/// Longest wait for a home: dozens of round trips, and short against the time of a request that waits for a token.
+/// Timeout of a request to a home: dozens of round trips, and short compared with the time that a client's request
+/// may wait for a token.
 const HOME_TIMEOUT: Duration = Duration::from_millis(80);
 
 impl KeeperClient {
-    /// Asks the organisation's home, and the second one where it is silent; `None` where neither answers.
+    /// Requests tokens from the organisation's home, or from the second home if the first one doesn't reply; `None`
+    /// if neither replies.
     ///
-    /// Where the organisation is near its limit the second home is told as well, so that it knows what is used when it
-    /// has to take over.
+    /// While the organisation is near its limit, the usage is also reported to the second home, so that the second home
+    /// knows it when it has to take over.
     pub async fn request_allowance(
         &self,
-        ask: &AllowanceRequest,
+        request: &AllowanceRequest,
         near: bool,
     ) -> Option<AllowanceGrant> {
         let placement = self.placement.load_full();
-        let homes = self.accountants_within_reach(&placement, ask.organisation);
+        let homes = self.reachable_account_keepers(&placement, request.organisation);
         for (index, &home) in homes.iter().enumerate() {
-            let request = KeeperRequest::Allowance(ask.clone());
-            let asking = self.ask(home.clone(), &placement, request, HOME_TIMEOUT);
-            let Some(KeeperReply::Allowance(grant)) = asking.await else {
+            let keeper_request = KeeperRequest::Allowance(request.clone());
+            let reply = self.call(home.clone(), &placement, keeper_request, HOME_TIMEOUT);
+            let Some(KeeperReply::Allowance(grant)) = reply.await else {
                 continue;
             };
             if near || grant.near {
-                self.tell_homes(&placement, &homes[index + 1..], ask);
+                self.report_to_homes(&placement, &homes[index + 1..], request);
             }
             return Some(grant);
         }
         None
     }
 
-    fn tell_homes(
+    fn report_to_homes(
         &self,
         placement: &KeeperPlacement,
         homes: &[&KeeperSlot],
-        ask: &AllowanceRequest,
+        request: &AllowanceRequest,
     ) {
-        let mut report = ask.clone();
-        // It was granted elsewhere, and only has to be counted.
+        let mut report = request.clone();
+        // These tokens were granted by another home and only have to be counted.
         report.used += u64::from(report.waiting);
         report.waiting = 0;
         report.spare = 0;
         for home in homes {
-            self.tell_keeper(home, placement, KeeperRequest::Allowance(report.clone()));
+            self.send_to_keeper(home, placement, KeeperRequest::Allowance(report.clone()));
         }
     }
 }
--- a/crates/samphiregrade-gateway/src/fact/book.rs
+++ b/crates/samphiregrade-gateway/src/fact/book.rs
@@ -1,7 +1,7 @@
-//! The facts that a keeper has: an index in memory, pure, without sockets or disk.
+//! In-memory index of a keeper's facts; performs no network or disk access.
 //!
-//! What turns said is many times larger than all that is known about them, so it stays on disk once it is there;
-//! the index tells where.
+//! The content of turns (input and output) is many times larger than their metadata. Once it is on disk, the index
+//! keeps only its location.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -13,41 +13,41 @@
 use super::placement::KeeperPlacement;
 use crate::model::{ProgramId, TurnId};
 
-/// Parts into which all facts are divided for a keeper that rebuilds: one part of a small disk is well under a
-/// megabyte.
+/// Number of parts into which facts are divided for export to a rebuilding keeper: one part of a small disk is well
+/// under a megabyte.
 pub const EXPORT_PARTS: u8 = 128;
 
-/// Time beyond its own for which a fact is kept: a turn that comes at the last moment still finds its
-/// chain, also where it waits for the store.
-const KEEP_MARGIN: Duration = Duration::from_secs(10);
+/// Time for which a fact is kept beyond its retention time: a turn that arrives at the last moment still finds its
+/// chain, even if it first waits for the store.
+const RETENTION_MARGIN: Duration = Duration::from_secs(10);
 
-/// Where a fact's frame stands on disk.
+/// Location of a fact's frame on disk.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct FrameLocation {
-    /// Number of the segment.
+    /// Segment number.
     pub segment: u64,
-    /// First byte of the frame.
+    /// Offset of the frame's first byte.
     pub offset: u64,
-    /// Bytes of the frame.
+    /// Frame length in bytes.
     pub length: usize,
 }
 
-/// What a turn said, or where that stands.
+/// Content of a turn, or its location.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum TurnContent {
-    /// It is not on disk yet.
+    /// The content is not on disk yet.
     Memory {
-        /// What the client sent.
+        /// Data that the client sent.
         input: Bytes,
-        /// What the upstream answered.
+        /// Data that the upstream returned.
         output: Bytes,
     },
-    /// It is on disk.
+    /// The content is on disk.
     Disk(FrameLocation),
 }
 
 impl TurnContent {
-    /// Returns a turn's content in memory.
+    /// Returns a turn's content as kept in memory.
     #[must_use]
     pub fn of(turn: &TurnFact) -> Self {
         Self::Memory {
@@ -57,28 +57,28 @@
     }
 }
 
-/// What is known of a chain.
+/// The known part of a chain.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KnownChain {
-    /// Its turns, from the oldest known one on.
+    /// The known turns, oldest first.
     pub turns: Vec<TurnContent>,
-    /// The turn before these, where it is not known.
+    /// The turn before these, if there is one and it is unknown.
     pub missing: Option<TurnId>,
 }
 
-/// One part of all facts.
+/// One of the parts into which facts are divided for export.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct FactPart {
-    /// Facts that are whole in memory.
+    /// Facts that are completely in memory.
     pub facts: Vec<FactRecord>,
-    /// Turns that stand on disk.
+    /// Locations of turns whose content is on disk.
     pub on_disk: Vec<FrameLocation>,
 }
 
 struct ProgramEntry {
     ledger: ProgramLedger,
     keep: Duration,
-    used: Instant,
+    last_used: Instant,
 }
 
 struct TurnEntry {
@@ -88,10 +88,10 @@
     spent: u32,
     bytes: usize,
     keep: Duration,
-    used: Instant,
+    last_used: Instant,
 }
 
-/// All facts of a keeper.
+/// Index of all facts of a keeper.
 #[derive(Default)]
 pub struct FactIndex {
     programs: HashMap<ProgramId, ProgramEntry>,
@@ -100,20 +100,20 @@
 }
 
 impl FactIndex {
-    /// Takes a fact in; returns whether it told anything new.
-    pub fn take(&mut self, fact: &FactRecord, now: Instant) -> bool {
+    /// Adds a fact; returns whether it contained anything new.
+    pub fn insert(&mut self, fact: &FactRecord, now: Instant) -> bool {
         match fact {
             FactRecord::Reservation {
                 program,
                 reservation,
                 keep,
-            } => self.take_reservation(program, reservation.clone(), *keep, now),
-            FactRecord::Turn(turn) => self.take_turn(turn, now),
+            } => self.insert_reservation(program, reservation.clone(), *keep, now),
+            FactRecord::Turn(turn) => self.insert_turn(turn, now),
             FactRecord::LimitUses { .. } => false,
         }
     }
 
-    fn take_reservation(
+    fn insert_reservation(
         &mut self,
         program: &ProgramId,
         reservation: Reservation,
@@ -126,14 +126,14 @@
             .or_insert_with(|| ProgramEntry {
                 ledger: ProgramLedger::default(),
                 keep,
-                used: now,
+                last_used: now,
             });
         entry.keep = entry.keep.max(keep);
-        entry.used = now;
+        entry.last_used = now;
         entry.ledger.add(reservation)
     }
 
-    fn take_turn(&mut self, turn: &TurnFact, now: Instant) -> bool {
+    fn insert_turn(&mut self, turn: &TurnFact, now: Instant) -> bool {
         let reservation = Reservation {
             turn: turn.turn.clone(),
             most: turn.spent,
@@ -141,7 +141,7 @@
             place: turn.place.clone(),
             program_left: None,
         };
-        self.take_reservation(&turn.program, reservation, turn.keep, now);
+        self.insert_reservation(&turn.program, reservation, turn.keep, now);
         if self.turns.contains_key(&turn.turn) {
             return false;
         }
@@ -152,16 +152,16 @@
             spent: turn.spent,
             bytes: turn.input.len() + turn.output.len(),
             keep: turn.keep,
-            used: now,
+            last_used: now,
         };
         self.live_bytes += entry.bytes;
         self.turns.insert(turn.turn.clone(), entry);
-        self.use_chain(&turn.turn, now);
+        self.touch_chain(&turn.turn, now);
         true
     }
 
-    /// Notes where a fact stands on disk now; memory gives its content up.
-    pub fn place_on_disk(&mut self, fact: &FactRecord, location: FrameLocation) {
+    /// Records a fact's location on disk and releases its content in memory.
+    pub fn set_disk_location(&mut self, fact: &FactRecord, location: FrameLocation) {
         let FactRecord::Turn(turn) = fact else {
             return;
         };
@@ -170,27 +170,27 @@
         }
     }
 
-    /// Marks a chain as used, so that its older turns are kept as long as its newest.
-    fn use_chain(&mut self, turn: &TurnId, now: Instant) {
+    /// Marks a chain as used, so that its older turns are kept as long as its newest one.
+    fn touch_chain(&mut self, turn: &TurnId, now: Instant) {
         let mut next = Some(turn.clone());
         while let Some(id) = next {
             let Some(entry) = self.turns.get_mut(&id) else {
                 return;
             };
-            entry.used = now;
+            entry.last_used = now;
             let previous = entry.previous.clone();
             next = previous;
         }
     }
 
-    /// Returns what is known of a program's budget.
+    /// Returns the known reservations of a program.
     #[must_use]
     pub fn ledger(&self, program: &str) -> ProgramLedger {
         let entry = self.programs.get(program);
         entry.map(|entry| entry.ledger.clone()).unwrap_or_default()
     }
 
-    /// Returns what is known of the chain that ends with a turn; `None` where the turn itself is not known.
+    /// Returns the known part of the chain that ends with a turn; `None` if the turn itself is unknown.
     pub fn chain(&mut self, turn: &TurnId, now: Instant) -> Option<KnownChain> {
         let mut turns = Vec::new();
         let mut next = Some(turn);
@@ -206,22 +206,22 @@
         }
         turns.reverse();
         let missing = next.cloned();
-        self.use_chain(turn, now);
+        self.touch_chain(turn, now);
         Some(KnownChain { turns, missing })
     }
 
-    /// Returns the marks of the turns of one part that are known.
+    /// Returns the digests of the known turns of one part.
     #[must_use]
-    pub fn known_turns(&self, part: u8) -> Vec<u64> {
-        let turns = self.turns.keys().map(mark_of);
+    pub fn known_digests(&self, part: u8) -> Vec<u64> {
+        let turns = self.turns.keys().map(digest_of);
         turns
-            .filter(|mark| mark.part == part)
-            .map(|mark| mark.number)
+            .filter(|digest| digest.part == part)
+            .map(|digest| digest.number)
             .collect()
     }
 
-    /// Returns the facts of one part, without the turns that are known already and without programs that a
-    /// slot's keeper does not have to have.
+    /// Returns the facts of one part, without the turns that the requester has already and without programs whose
+    /// group doesn't include the requester's slot.
     #[must_use]
     pub fn export(&self, request: &ExportRequest, placement: &KeeperPlacement) -> FactPart {
         let wanted = |program: &str| {
@@ -230,11 +230,11 @@
         };
         let mut exported = FactPart::default();
         for (program, entry) in &self.programs {
-            if mark_of(program).part != request.part || !wanted(program) {
+            if digest_of(program).part != request.part || !wanted(program) {
                 continue;
             }
             for reservation in &entry.ledger.reservations {
-                // A turn says what its reservation says.
+                // The turn's own fact contains the reservation's data.
                 if self.turns.contains_key(&reservation.turn) {
                     continue;
                 }
@@ -246,8 +246,8 @@
             }
         }
         for (turn, entry) in &self.turns {
-            let mark = mark_of(turn);
-            let known = mark.part != request.part || request.known.contains(&mark.number);
+            let digest = digest_of(turn);
+            let known = digest.part != request.part || request.known.contains(&digest.number);
             if known || !wanted(&entry.program) {
                 continue;
             }
@@ -279,52 +279,52 @@
         known.place.clone()
     }
 
-    /// Drops what nobody has used for its time.
+    /// Removes the programs and turns that have not been used for their retention time.
     pub fn expire(&mut self, now: Instant) {
-        let over = |used: Instant, keep: Duration| {
-            now.saturating_duration_since(used) > keep + KEEP_MARGIN
+        let is_expired = |last_used: Instant, keep: Duration| {
+            now.saturating_duration_since(last_used) > keep + RETENTION_MARGIN
         };
         self.programs
-            .retain(|_, entry| !over(entry.used, entry.keep));
+            .retain(|_, entry| !is_expired(entry.last_used, entry.keep));
         let mut released = 0;
         self.turns.retain(|_, entry| {
-            let keeps = !over(entry.used, entry.keep);
-            released += if keeps { 0 } else { entry.bytes };
-            keeps
+            let retained = !is_expired(entry.last_used, entry.keep);
+            released += if retained { 0 } else { entry.bytes };
+            retained
         });
         self.live_bytes -= released;
     }
 
-    /// Returns the turns that are kept.
+    /// Returns the number of turns.
     #[must_use]
     pub fn turn_count(&self) -> usize {
         self.turns.len()
     }
 
-    /// Returns the programs whose budgets are kept.
+    /// Returns the number of programs.
     #[must_use]
     pub fn program_count(&self) -> usize {
         self.programs.len()
     }
 
-    /// Returns the bytes of all turns as they were sent.
+    /// Returns the total content size of all turns in bytes.
     #[must_use]
     pub fn live_bytes(&self) -> usize {
         self.live_bytes
     }
 }
 
-/// Which part an id belongs to, and a number that stands for it.
-struct IdMark {
+/// Hash of an id: the part to which the id belongs, and a number that identifies it.
+struct IdDigest {
     part: u8,
     number: u64,
 }
 
-fn mark_of(id: &SmolStr) -> IdMark {
+fn digest_of(id: &SmolStr) -> IdDigest {
     let hash = blake3::hash(id.as_bytes());
     let mut number = [0; 8];
     number.copy_from_slice(&hash.as_bytes()[1..9]);
-    IdMark {
+    IdDigest {
         part: hash.as_bytes()[0] % EXPORT_PARTS,
         number: u64::from_le_bytes(number),
     }
--- a/crates/samphiregrade-gateway/src/fact/client.rs
+++ b/crates/samphiregrade-gateway/src/fact/client.rs
@@ -1,4 +1,4 @@
-//! Asking the keepers: reservations, commits and chains by majorities.
+//! Client of the keepers: reservations, durable writes and chain look-ups by majorities.
 
 mod asking;
 
@@ -21,68 +21,69 @@
 use crate::observe::GatewayMetrics;
 use crate::upstream::OutcomeTracker;
 
-/// Longest wait for one keeper: dozens of round trips and syncs, and short against a client's deadline.
-pub(super) const ASK_TIMEOUT: Duration = Duration::from_millis(400);
+/// Timeout of a request to one keeper: dozens of round trips and syncs, and short compared with a client's deadline.
+pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Longest wait until a fact is durable. The end of an answer that has run waits for it, and is broken off otherwise.
-/// It outlasts a stop of a keeper and its start, which take some 0.6 s together, and stays within the two seconds that
-/// callers wait at least for the next part of an answer.
-const STORE_PATIENCE: Duration = Duration::from_millis(1800);
+/// Timeout of a durable write. The end of a completed response is withheld until its fact is durable; on timeout the
+/// response is aborted. The timeout exceeds a keeper's restart (stop and start take about 0.6 s together) and is below
+/// the two seconds that callers wait at least for the next part of a response.
+const STORE_TIMEOUT: Duration = Duration::from_millis(1800);
 
-/// Pause between two looks at whether a newer placement was learnt while a fact is being stored.
-const OUTDATED_LOOK: Duration = Duration::from_millis(50);
+/// Interval at which a write that waits for replies checks whether a newer placement is known.
+const PLACEMENT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a fact is not known to be durable, or a question has no sure answer.
+/// Why a fact is not known to be durable, or a query has no certain result.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum FactFailure {
     /// No placement is known yet.
-    #[error("no keeper is known yet; ask again shortly")]
+    #[error("no keeper is known yet; retry shortly")]
     NoPlacement,
-    /// Too few keepers answered.
-    #[error("too few keepers answer; ask again when they are back")]
+    /// Too few keepers replied.
+    #[error("too few keepers reply; retry when more of them are reachable")]
     NoMajority,
 }
 
-/// What became of a reservation.
+/// Result of a reservation.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ReserveOutcome {
-    /// The tokens are set aside; this is what is known of the program.
+    /// The tokens are reserved; carries the program's known reservations.
     Reserved(ProgramLedger),
-    /// The budget does not hold the turn.
+    /// The turn doesn't fit into the program's budget; carries the known reservations.
     OverBudget(ProgramLedger),
 }
 
-/// Whether a chain exists.
+/// Result of a chain look-up.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ChainLookup {
-    /// Its turns, joined.
+    /// The concatenated content of the chain's turns.
     Found(Bytes),
-    /// No such turn exists, for certain.
+    /// It is certain that the turn doesn't exist.
     Absent,
 }
 
-/// The client of all keepers; cloning it is cheap.
+/// Client of all keepers; cheap to clone.
 #[derive(Clone)]
 pub struct KeeperClient {
     pub(super) links: LinkEndpoint,
     pub(super) placement: Arc<ArcSwap<KeeperPlacement>>,
     metrics: Arc<GatewayMetrics>,
-    /// This instance, as others may use it as a helper.
+    /// This instance's address, under which others may use it as a helper.
     pub(super) own: HelperAddress,
     pub(super) health: Arc<KeeperHealth>,
     outcomes: Arc<OutcomeTracker>,
-    /// Number of its own, by which it orders keepers.
+    /// Random seed of this client, by which it orders keepers.
     pub(super) seed: u64,
-    /// Entries through which keepers are reached that don't answer straight.
+    /// Entries that forward requests to keepers which don't reply directly.
     pub(super) helpers: Arc<HelperTable>,
     /// Hash of this instance's name.
     pub(super) tag: InstanceTag,
-    /// What keepers have told of the key-value service's revisions.
-    pub(super) news: Arc<LagMonitor>,
+    /// Revisions of the key-value service that keepers have reported.
+    pub(super) lag: Arc<LagMonitor>,
 }
 
 impl KeeperClient {
-    /// Makes a client that follows a placement, and exchanges accounts of upstreams with the keepers beside its calls.
+    /// Creates a client that follows a placement; its requests also exchange request outcomes at upstreams with the
+    /// keepers.
     #[must_use]
     pub fn new(
         links: LinkEndpoint,
@@ -100,18 +101,18 @@
             health: Arc::default(),
             outcomes,
             seed: rand::random(),
-            news: Arc::default(),
+            lag: Arc::default(),
             helpers: Arc::default(),
         }
     }
 
-    /// Returns the placement that the client follows.
+    /// Returns the newest known placement.
     #[must_use]
     pub fn placement(&self) -> KeeperPlacement {
         KeeperPlacement::clone(&self.placement.load())
     }
 
-    /// Takes a placement if it is newer.
+    /// Adopts a placement if it is newer than the known one.
     pub fn adopt(&self, placement: &KeeperPlacement) {
         self.placement.rcu(|known| {
             if placement.generation > known.generation {
@@ -122,11 +123,11 @@
         });
     }
 
-    /// Sets tokens aside for a turn on a majority of the program's keepers, before it is dispatched.
+    /// Reserves tokens for a turn on a majority of the program's keepers, before the turn is dispatched.
     ///
     /// # Errors
     ///
-    /// [`FactFailure`] where too few keepers answer; the turn must not run then.
+    /// [`FactFailure`] if too few keepers reply; the turn must not run then.
     pub async fn reserve(
         &self,
         program: &ProgramId,
@@ -136,13 +137,13 @@
         most: u32,
     ) -> Result<ReserveOutcome, FactFailure> {
         let request = &KeeperRequest::Reserve(fact);
-        let ledger = self.under_newest(move |placement| async move {
+        let ledger = self.with_newest_placement(move |placement| async move {
             let group = self.reachable_group(&placement, program)?;
-            let replies = self.ask_group(&placement, &group, request);
-            gather_ledger(&placement, replies).await
+            let replies = self.call_group(&placement, &group, request);
+            collect_ledger(&placement, replies).await
         });
         let ledger = ledger.await?;
-        Ok(if ledger.holds(budget, turn, most) {
+        Ok(if ledger.fits_budget(budget, turn, most) {
             ReserveOutcome::Reserved(ledger)
         } else {
             ReserveOutcome::OverBudget(ledger)
@@ -151,55 +152,55 @@
 
     /// Stores a fact on a majority of the program's keepers.
     ///
-    /// Keepers that are away for a moment are waited for, and where the placement changes meanwhile the fact is stored
-    /// under the newer one: what has run must not be broken off since a keeper stops or a slot changes hands. Only
-    /// confirmations under one placement count together.
+    /// The write waits for keepers that are briefly unavailable. If the placement changes meanwhile, the fact is stored
+    /// under the newer one: a response that has run must not be aborted because a keeper stops or a slot is reassigned.
+    /// Only acknowledgements under the same placement count together.
     ///
     /// # Errors
     ///
-    /// [`FactFailure`] where too few confirm it in time.
+    /// [`FactFailure`] if too few keepers acknowledge the fact in time.
     pub async fn store(&self, program: &ProgramId, fact: FactRecord) -> Result<(), FactFailure> {
         let fact = &fact;
-        let storing = self.under_newest(move |placement| async move {
-            self.store_under(&placement, program, fact).await
+        let storing = self.with_newest_placement(move |placement| async move {
+            self.store_with_placement(&placement, program, fact).await
         });
-        tokio::time::timeout(STORE_PATIENCE, storing)
+        tokio::time::timeout(STORE_TIMEOUT, storing)
             .await
             .unwrap_or(Err(FactFailure::NoMajority))
     }
 
-    /// Asks under the newest known placement, and again where a newer one is learnt meanwhile: keepers refuse what comes
-    /// under an older one, and say which is newer.
-    async fn under_newest<Asking, Asked, Output>(
+    /// Runs an operation under the newest known placement and repeats a failed one if a newer placement became known
+    /// meanwhile: keepers reject requests under an older placement and return the newer one.
+    async fn with_newest_placement<Operation, Execution, Output>(
         &self,
-        asking: Asking,
+        operation: Operation,
     ) -> Result<Output, FactFailure>
     where
-        Asked: Future<Output = Result<Output, FactFailure>>,
-        Asking: Fn(Arc<KeeperPlacement>) -> Asked,
+        Execution: Future<Output = Result<Output, FactFailure>>,
+        Operation: Fn(Arc<KeeperPlacement>) -> Execution,
     {
         loop {
             let placement = self.placement.load_full();
-            let asked = asking(placement.clone()).await;
-            if asked.is_ok() || !self.is_outdated(&placement) {
-                return asked;
+            let result = operation(placement.clone()).await;
+            if result.is_ok() || !self.is_outdated(&placement) {
+                return result;
             }
         }
     }
 
     /// Stores a fact on a majority of the keepers that a placement names.
-    async fn store_under(
+    async fn store_with_placement(
         &self,
         placement: &Arc<KeeperPlacement>,
         program: &ProgramId,
         fact: &FactRecord,
     ) -> Result<(), FactFailure> {
         let group = group_slots(placement, program)?;
-        let mut replies = self.ask_group(placement, &group, &KeeperRequest::Store(fact.clone()));
+        let mut replies = self.call_group(placement, &group, &KeeperRequest::Store(fact.clone()));
         let mut stored = 0;
         while !self.is_outdated(placement) {
-            // A newer placement may be learnt while nobody replies.
-            let reply = match tokio::time::timeout(OUTDATED_LOOK, replies.recv()).await {
+            // A newer placement may become known while no keeper replies.
+            let reply = match tokio::time::timeout(PLACEMENT_CHECK_INTERVAL, replies.recv()).await {
                 Err(_) => continue,
                 Ok(None) => break,
                 Ok(Some(reply)) => reply,
@@ -216,7 +217,7 @@
         self.placement.load().generation != placement.generation
     }
 
-    /// Tells the program's keepers a fact that nobody waits for.
+    /// Stores a fact on the program's keepers in the background.
     pub fn store_in_background(&self, program: &ProgramId, fact: &FactRecord) {
         let placement = self.placement.load_full();
         let Ok(group) = group_slots(&placement, program) else {
@@ -225,28 +226,28 @@
         for slot in group {
             let client = self.clone();
             let request = KeeperRequest::Note(fact.clone());
-            tokio::spawn(async move { client.insist(slot, request).await });
+            tokio::spawn(async move { client.store_with_retries(slot, request).await });
         }
     }
 
-    /// Looks a chain up: at the program's keepers, the nearest first, then at all.
+    /// Looks up a chain: first on the nearest of the program's keepers, then on all keepers.
     ///
     /// # Errors
     ///
-    /// [`FactFailure`] where it can't be told whether the turn exists, or not all of its chain is within reach.
+    /// [`FactFailure`] if it is unknown whether the turn exists, or part of its chain is unreachable.
     pub async fn chain(
         &self,
         program: &ProgramId,
         turn: &TurnId,
     ) -> Result<ChainLookup, FactFailure> {
-        let mut wanted = turn.clone();
+        let mut current = turn.clone();
         let mut newer: Vec<Bytes> = Vec::new();
         loop {
-            let wanted_turn = &wanted;
-            let ended = self.under_newest(move |placement| async move {
-                self.chain_end(&placement, program, wanted_turn).await
+            let current_turn = &current;
+            let querying = self.with_newest_placement(move |placement| async move {
+                self.query_chain(&placement, program, current_turn).await
             });
-            match ended.await? {
+            match querying.await? {
                 ChainAnswer::Found(oldest) if newer.is_empty() => {
                     return Ok(ChainLookup::Found(oldest));
                 }
@@ -260,7 +261,7 @@
                     newer: part,
                 } => {
                     newer.push(part);
-                    wanted = missing;
+                    current = missing;
                 }
                 ChainAnswer::Absent if newer.is_empty() => return Ok(ChainLookup::Absent),
                 ChainAnswer::Absent | ChainAnswer::Unknown => return Err(FactFailure::NoMajority),
@@ -268,8 +269,8 @@
         }
     }
 
-    /// Asks for a turn with as much of its chain as one keeper has; `Absent` only where that is certain.
-    async fn chain_end(
+    /// Requests a turn with as much of its chain as one keeper has; returns `Absent` only if that is certain.
+    async fn query_chain(
         &self,
         placement: &Arc<KeeperPlacement>,
         program: &ProgramId,
@@ -280,8 +281,8 @@
         let request = KeeperRequest::Chain(turn.clone());
         let mut partial = None;
         if let Some(nearest) = group.first() {
-            let asking = self.ask(nearest.clone(), placement, request.clone(), ASK_TIMEOUT);
-            match asking.await {
+            let calling = self.call(nearest.clone(), placement, request.clone(), REQUEST_TIMEOUT);
+            match calling.await {
                 Some(KeeperReply::Chain(found @ ChainAnswer::Found(_))) => return Ok(found),
                 Some(KeeperReply::Chain(part @ ChainAnswer::Partial { .. })) => {
                     partial = Some(part);
@@ -289,7 +290,7 @@
                 _ => {}
             }
         }
-        let mut replies = self.ask_group(placement, &placement.slots, &request);
+        let mut replies = self.call_group(placement, &placement.slots, &request);
         let mut absent = 0;
         while let Some(reply) = replies.recv().await {
             match reply {
@@ -304,37 +305,38 @@
         if let Some(part) = partial {
             return Ok(part);
         }
-        // All have been heard by then: while a slot changes hands, the one that knows the turn, or the newer placement,
-        // may be the last to answer.
-        if absent >= placement.meets_majorities_anywhere() && !self.is_outdated(placement) {
+        // The decision is made only after all keepers have replied or failed: while a slot is being reassigned, the
+        // keeper that knows the turn, or the newer placement, may be the last to reply.
+        if absent >= placement.global_read_quorum() && !self.is_outdated(placement) {
             return Ok(ChainAnswer::Absent);
         }
         Err(FactFailure::NoMajority)
     }
 
-    /// Returns a program's keepers, if enough of them are known to be within reach.
+    /// Returns a program's keepers if a majority of them is reachable.
     fn reachable_group(
         &self,
         placement: &KeeperPlacement,
         program: &ProgramId,
     ) -> Result<Vec<KeeperSlot>, FactFailure> {
         let group = group_slots(placement, program)?;
-        if self.health.reachable(&group, Instant::now()) < placement.majority() {
+        if self.health.reachable_count(&group, Instant::now()) < placement.majority() {
             return Err(FactFailure::NoMajority);
         }
         Ok(group)
     }
 
-    /// Notes an entry that may carry questions to keepers which this instance doesn't reach.
-    pub fn note_helper(&self, helper: HelperAddress) {
+    /// Records an entry that may forward requests to keepers which this instance doesn't reach.
+    pub fn record_helper(&self, helper: HelperAddress) {
         if helper.name != self.own.name {
-            self.helpers.note(helper);
+            self.helpers.record(helper);
         }
     }
 }
 
-/// Adds up what keepers know of a program until any majority of them is met.
-async fn gather_ledger(
+/// Merges the ledgers of a program that keepers return, until a majority has stored the reservation and the complete
+/// keepers among them include a member of every majority.
+async fn collect_ledger(
     placement: &KeeperPlacement,
     mut replies: mpsc::Receiver<Option<KeeperReply>>,
 ) -> Result<ProgramLedger, FactFailure> {
@@ -343,7 +345,7 @@
     while let Some(reply) = replies.recv().await {
         let Some(KeeperReply::Reserved {
             ledger: known,
-            complete: whole,
+            complete: is_complete,
             ..
         }) = reply
         else {
@@ -351,8 +353,8 @@
         };
         ledger.merge(known);
         stored += 1;
-        complete += usize::from(whole);
-        if stored >= placement.majority() && complete >= placement.meets_majorities() {
+        complete += usize::from(is_complete);
+        if stored >= placement.majority() && complete >= placement.read_quorum() {
             return Ok(ledger);
         }
     }
--- a/crates/samphiregrade-gateway/src/fact/client/asking.rs
+++ b/crates/samphiregrade-gateway/src/fact/client/asking.rs
@@ -1,36 +1,37 @@
-//! Questions to single keepers, straight or through a helper, and asked again for as long as somebody waits.
+//! Requests to single keepers, sent directly or through a helper, and their retries.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use tokio::sync::mpsc;
 
-use super::{ASK_TIMEOUT, KeeperClient};
+use super::{KeeperClient, REQUEST_TIMEOUT};
 use crate::fact::message::{KeeperAnswer, KeeperEnvelope, KeeperReply, KeeperRequest};
 use crate::fact::placement::{KeeperPlacement, KeeperSlot, PlacementGeneration};
 
-/// Longest wait for a keeper that nobody waits for.
+/// Timeout of one attempt of a background request.
 const BACKGROUND_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Times that a fact is sent to a keeper that does not confirm it.
-const BACKGROUND_TRIES: usize = 3;
+/// Number of attempts to store a fact on a keeper in the background.
+const BACKGROUND_ATTEMPTS: usize = 3;
 
-/// Pause before a question is sent again whose connection failed: half of what a link waits before it connects again.
-const REPEAT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a request is repeated after a connection failure: half of a link's reconnection delay.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What became of a question.
-enum AskedKeeper {
+/// Outcome of a request to a keeper.
+enum CallOutcome {
+    /// The keeper replied directly.
     Answered(KeeperAnswer),
-    /// A helper has passed it on.
+    /// The keeper replied through a helper.
     Helped(KeeperAnswer),
-    /// The connection failed, or no answer came in time.
-    Silent,
+    /// The connection failed, or no reply arrived in time.
+    NoReply,
 }
 
 impl KeeperClient {
-    /// Asks several keepers at once; each reply comes as it arrives, `None` for one that failed. A fact's confirmation
-    /// may still come after that.
-    pub(super) fn ask_group(
+    /// Sends a request to several keepers at once. The receiver yields each reply as it arrives and `None` for a failed
+    /// request; a fact's acknowledgement may still follow after a `None`.
+    pub(super) fn call_group(
         &self,
         placement: &Arc<KeeperPlacement>,
         slots: &[KeeperSlot],
@@ -44,18 +45,19 @@
             let sender = sender.clone();
             let slot = slot.clone();
             tokio::spawn(async move {
-                let asking = client.ask_until(&slot, &placement, &request, ASK_TIMEOUT);
-                let reply = asking.await;
+                let calling =
+                    client.call_with_retries(&slot, &placement, &request, REQUEST_TIMEOUT);
+                let reply = calling.await;
                 let failed = reply.is_none();
-                // The asker may have its majority already.
+                // The receiver is gone if the caller has its majority already.
                 let _ = sender.send(reply).await;
-                let lasting = matches!(request, KeeperRequest::Store(_));
-                if !failed || !lasting {
+                let is_store = matches!(request, KeeperRequest::Store(_));
+                if !failed || !is_store {
                     return;
                 }
-                let confirmed = client.insist(slot, request).await;
-                if confirmed == Some(placement.generation) {
-                    // The asker may have given up, or have its majority.
+                let acknowledged = client.store_with_retries(slot, request).await;
+                if acknowledged == Some(placement.generation) {
+                    // The receiver is gone if the caller has given up or has its majority.
                     let _ = sender.send(Some(KeeperReply::Stored)).await;
                 }
             });
@@ -63,24 +65,25 @@
         replies
     }
 
-    /// Sends a fact until the keeper confirms it, a few times; returns the placement's number under which it did.
-    pub(super) async fn insist(
+    /// Sends a fact until the keeper acknowledges it or all attempts have failed; returns the generation of the
+    /// placement under which the fact was acknowledged.
+    pub(super) async fn store_with_retries(
         &self,
         slot: KeeperSlot,
         request: KeeperRequest,
     ) -> Option<PlacementGeneration> {
-        for _ in 0..BACKGROUND_TRIES {
+        for _ in 0..BACKGROUND_ATTEMPTS {
             let placement = self.placement.load_full();
-            let asking = self.ask_until(&slot, &placement, &request, BACKGROUND_TIMEOUT);
-            if matches!(asking.await, Some(KeeperReply::Stored)) {
+            let calling = self.call_with_retries(&slot, &placement, &request, BACKGROUND_TIMEOUT);
+            if matches!(calling.await, Some(KeeperReply::Stored)) {
                 return Some(placement.generation);
             }
-            tokio::time::sleep(ASK_TIMEOUT).await;
+            tokio::time::sleep(REQUEST_TIMEOUT).await;
         }
         None
     }
 
-    /// Puts a request into the envelope for a keeper, with what the keeper has not been told of upstreams.
+    /// Wraps a request for a keeper, together with the upstream outcomes that have not been reported to the keeper yet.
     pub(in crate::fact) fn envelope(
         &self,
         slot: &KeeperSlot,
@@ -95,105 +98,110 @@
         }
     }
 
-    /// Asks a keeper, through a helper where it doesn't answer straight.
-    pub(in crate::fact) async fn ask(
+    /// Sends a request to a keeper, through a helper if the keeper isn't directly reachable.
+    pub(in crate::fact) async fn call(
         &self,
         slot: KeeperSlot,
         placement: &KeeperPlacement,
         request: KeeperRequest,
         timeout: Duration,
     ) -> Option<KeeperReply> {
-        let asked = self.ask_once(&slot, placement, request, timeout).await;
-        self.take_asked(&slot, asked)
+        let outcome = self.call_once(&slot, placement, request, timeout).await;
+        self.process_outcome(&slot, outcome)
     }
 
-    /// Asks a keeper, and asks it again where the connection fails while the asker still waits: a process that is
-    /// stopped takes the questions on its links with it, and the next one may be there already. All of these
-    /// questions may come twice: a keeper that knows a fact takes it as it is.
-    async fn ask_until(
+    /// Sends a request to a keeper and repeats it after connection failures until the timeout: requests on the links of
+    /// a stopped process are lost, and the next process may be running already. Repeating these requests is safe: a
+    /// keeper that knows a fact already acknowledges it again.
+    async fn call_with_retries(
         &self,
         slot: &KeeperSlot,
         placement: &KeeperPlacement,
         request: &KeeperRequest,
         timeout: Duration,
     ) -> Option<KeeperReply> {
-        let due = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         loop {
-            let left = due.saturating_duration_since(Instant::now());
-            let asked = self.ask_once(slot, placement, request.clone(), left).await;
-            let over = Instant::now() + REPEAT_PAUSE >= due;
-            if over || !matches!(asked, AskedKeeper::Silent) {
-                return self.take_asked(slot, asked);
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let outcome = self
+                .call_once(slot, placement, request.clone(), remaining)
+                .await;
+            let expired = Instant::now() + RETRY_DELAY >= deadline;
+            if expired || !matches!(outcome, CallOutcome::NoReply) {
+                return self.process_outcome(slot, outcome);
             }
-            tokio::time::sleep(REPEAT_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    async fn ask_once(
+    async fn call_once(
         &self,
         slot: &KeeperSlot,
         placement: &KeeperPlacement,
         request: KeeperRequest,
         timeout: Duration,
-    ) -> AskedKeeper {
-        let straight = self.health.is_straight(&slot.name, Instant::now());
-        if straight || self.helpers.used().is_empty() {
-            return self.ask_link(slot, placement, request, timeout).await;
+    ) -> CallOutcome {
+        let direct = self
+            .health
+            .is_directly_reachable(&slot.name, Instant::now());
+        if direct || self.helpers.used().is_empty() {
+            return self.call_link(slot, placement, request, timeout).await;
         }
         let envelope = self.envelope(slot, placement, request);
-        match self.ask_indirectly(slot, &envelope, timeout).await {
-            Some(answer) => AskedKeeper::Helped(answer),
-            None => AskedKeeper::Silent,
+        match self.call_indirectly(slot, &envelope, timeout).await {
+            Some(answer) => CallOutcome::Helped(answer),
+            None => CallOutcome::NoReply,
         }
     }
 
-    /// Asks on the link to the keeper, whatever is known of it.
-    async fn ask_link(
+    /// Sends a request on the direct link to the keeper, even if the keeper counts as unreachable.
+    async fn call_link(
         &self,
         slot: &KeeperSlot,
         placement: &KeeperPlacement,
         request: KeeperRequest,
         timeout: Duration,
-    ) -> AskedKeeper {
+    ) -> CallOutcome {
         let envelope = self.envelope(slot, placement, request);
         match self.links.request(slot.address, &envelope, timeout).await {
             Ok(answer) => {
-                self.health.note(&slot.name, Instant::now());
-                AskedKeeper::Answered(answer)
+                self.health.record_reply(&slot.name, Instant::now());
+                CallOutcome::Answered(answer)
             }
             Err(error) => {
                 log::debug!("keeper={} {error}", slot.name);
-                AskedKeeper::Silent
+                CallOutcome::NoReply
             }
         }
     }
 
-    /// Counts a question and takes what its answer tells.
-    fn take_asked(&self, slot: &KeeperSlot, asked: AskedKeeper) -> Option<KeeperReply> {
-        let (result, answer) = match asked {
-            AskedKeeper::Answered(answer) => ("answered", Some(answer)),
-            AskedKeeper::Helped(answer) => ("helped", Some(answer)),
-            AskedKeeper::Silent => ("failed", None),
+    /// Counts a request and processes its reply.
+    fn process_outcome(&self, slot: &KeeperSlot, outcome: CallOutcome) -> Option<KeeperReply> {
+        let (result, answer) = match outcome {
+            CallOutcome::Answered(answer) => ("answered", Some(answer)),
+            CallOutcome::Helped(answer) => ("helped", Some(answer)),
+            CallOutcome::NoReply => ("failed", None),
         };
         self.metrics.count_keeper_call(result);
         let KeeperAnswer { revision, reply } = answer?;
-        self.news.hear(&slot.name, revision);
-        self.learn_from(reply)
+        self.lag.record(&slot.name, revision);
+        self.process_reply(reply)
     }
 
-    pub(in crate::fact) async fn ask_straight(
+    /// Sends a request to a keeper, without helpers.
+    pub(in crate::fact) async fn call_directly(
         &self,
         slot: &KeeperSlot,
         placement: &KeeperPlacement,
         request: KeeperRequest,
         timeout: Duration,
     ) -> Option<KeeperReply> {
-        let asked = self.ask_link(slot, placement, request, timeout).await;
-        self.take_asked(slot, asked)
+        let outcome = self.call_link(slot, placement, request, timeout).await;
+        self.process_outcome(slot, outcome)
     }
 
-    /// Takes what a keeper tells beside its answer; `None` where the answer is only that the placement is old.
-    fn learn_from(&self, reply: KeeperReply) -> Option<KeeperReply> {
+    /// Processes the additional information in a reply; returns `None` if the reply only carries a newer placement.
+    fn process_reply(&self, reply: KeeperReply) -> Option<KeeperReply> {
         match &reply {
             KeeperReply::NewerPlacement(newer) => {
                 self.adopt(newer);
@@ -207,13 +215,13 @@
             } => {
                 self.outcomes.merge_suspects(suspects, Instant::now());
                 if let Some(helper) = helper {
-                    self.note_helper(helper.clone());
+                    self.record_helper(helper.clone());
                 }
             }
             KeeperReply::Stream {
                 helper: Some(helper),
                 ..
-            } => self.note_helper(helper.clone()),
+            } => self.record_helper(helper.clone()),
             _ => {}
         }
         Some(reply)
--- a/crates/samphiregrade-gateway/src/fact/disk.rs
+++ b/crates/samphiregrade-gateway/src/fact/disk.rs
@@ -1,9 +1,8 @@
 //! Facts on disk: checksummed frames appended to segment files, synced in groups.
 //!
-//! A frame that is torn, missing or damaged ends its segment; a restart goes on in a new one, so that
-//! nothing is ever written behind a damaged frame. Reading a fact twice changes nothing, so a compaction
-//! needs no care about what it leaves behind: it writes all live facts to a new segment, syncs it, and
-//! then removes the older ones.
+//! A torn, missing or damaged frame ends its segment. A restarted keeper always begins a new segment, so that nothing
+//! is ever written after a damaged frame. Loading a fact twice has no effect, so an interrupted compaction may leave
+//! duplicates: a compaction writes all live facts to a new segment, syncs it and then removes the older segments.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -24,46 +23,48 @@
 use super::reader::FactReader;
 use crate::limits::{LedgerTime, LimitUse};
 
-/// Bytes of a frame before its payload: length and checksum.
-const FRAME_HEAD: usize = 12;
+/// Size of a frame's header in bytes: payload length and checksum.
+const FRAME_HEADER: usize = 12;
 
-/// Largest accepted frame; the longest input with its output fits.
+/// Maximum payload size of a frame; the longest input with its output fits.
 const FRAME_LIMIT: usize = 64 << 20;
 
-/// Jobs that one sync covers at most; beyond it the answers would wait for too large a write.
+/// Maximum number of jobs per sync; with more jobs, replies would wait for too large a write.
 const GROUP_LIMIT: usize = 512;
 
-/// Bytes beyond which a sync covers no further job; a small disk writes them in about ten milliseconds.
+/// Group size in bytes above which no further job is added to a sync; a small disk writes this much in about ten
+/// milliseconds.
 const GROUP_BYTES: usize = 1 << 20;
 
-/// Facts that may wait for the disk; more are refused at once, so that a hanging disk can't fill memory.
+/// Maximum number of jobs queued for the disk; further ones are rejected at once, so that a hanging disk can't fill the
+/// memory.
 const QUEUE_LIMIT: usize = 4096;
 
-/// Size at which a segment is ended: a restart reads one into memory at a time.
+/// Size at which a new segment is begun: a restart reads one segment into memory at a time.
 const SEGMENT_BYTES: u64 = 4 << 20;
 
 const STATE_FILE: &str = "state";
 const SEGMENT_PREFIX: &str = "facts-";
 
-/// A folder that can't be used.
+/// Error of a data folder that can't be used.
 #[derive(Debug, Error)]
 pub enum FactDiskError {
-    /// The system refused.
-    #[error("{path}: {error}; give the instance a folder that it may write to")]
+    /// A system call failed.
+    #[error("{path}: {error}; configure a data folder that the instance may write to")]
     System {
-        /// The file or folder.
+        /// The folder.
         path: PathBuf,
-        /// Why.
+        /// The system's error.
         error: io::Error,
     },
 }
 
-/// The little that a keeper remembers beside facts.
+/// Persistent state of a keeper besides facts.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DiskState {
-    /// Whether the disk has everything that the keeper ever stored.
+    /// Whether the disk has every fact that the keeper has ever acknowledged.
     pub complete: bool,
-    /// The newest placement that it knows.
+    /// The newest placement that the keeper knows.
     pub placement: KeeperPlacement,
     /// Certificate of the deployment's authority, as PEM text.
     pub authority: SmolStr,
@@ -71,36 +72,36 @@
     pub authority_key: SmolStr,
 }
 
-/// What a folder held.
+/// Data read from a folder at the start.
 #[derive(Default)]
 pub struct RecoveredFacts {
-    /// All facts.
-    pub book: FactIndex,
-    /// Facts read, repeated ones included.
+    /// Index of all facts.
+    pub index: FactIndex,
+    /// Number of facts read, including duplicates.
     pub facts: usize,
-    /// The state; `None` where the folder was empty.
+    /// The state; `None` if the folder has no readable state file.
     pub state: Option<DiskState>,
-    /// Bytes of segments read.
+    /// Total size of the segments in bytes.
     pub bytes: u64,
-    /// Segments that ended in a damaged frame.
+    /// Number of segments that ended in a damaged frame.
     pub damaged: usize,
-    /// Time on the home's clock when it noted uses of limits last.
+    /// Time on the home's clock when it last recorded uses of limits.
     pub limits_at: LedgerTime,
     /// Uses of organisations' limits.
     pub limit_uses: Vec<LimitUse>,
 }
 
-/// Where appended facts stand; `None` where they are not durable.
+/// Receives the locations of appended facts; `None` if they are not durable.
 type AppendReply = oneshot::Sender<Option<Vec<FrameLocation>>>;
 
 enum DiskJob {
     Append(Vec<FactRecord>, Option<AppendReply>),
     BeginSegment(oneshot::Sender<bool>),
-    DropOlder,
-    Remember(DiskState, oneshot::Sender<bool>),
+    RemoveOlder,
+    WriteState(DiskState, oneshot::Sender<bool>),
 }
 
-/// The writing side of a folder; cloning it is cheap.
+/// Writer and reader of a data folder; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct FactDisk {
     jobs: mpsc::SyncSender<DiskJob>,
@@ -108,11 +109,11 @@
 }
 
 impl FactDisk {
-    /// Reads a folder and starts the thread that writes to it.
+    /// Reads a folder and starts the threads that write and read its facts.
     ///
     /// # Errors
     ///
-    /// [`FactDiskError`] where the folder can't be read or written.
+    /// [`FactDiskError`] if the folder can't be read or written.
     pub fn open(folder: &Path) -> Result<(Self, RecoveredFacts), FactDiskError> {
         let system = |error| FactDiskError::System {
             path: folder.to_owned(),
@@ -120,10 +121,10 @@
         };
         fs::create_dir_all(folder).map_err(system)?;
         let recovered = recover(folder).map_err(system)?;
-        let numbers = segment_numbers(folder).map_err(system)?;
+        let segments = segment_numbers(folder).map_err(system)?;
         let mut writer = SegmentWriter {
             folder: folder.to_owned(),
-            number: numbers.last().copied().unwrap_or(0),
+            number: segments.last().copied().unwrap_or(0),
             file: None,
             written: 0,
             kept_from: 0,
@@ -137,7 +138,7 @@
         Ok((Self { jobs, reader }, recovered))
     }
 
-    /// Appends facts with one sync; resolves to where they stand, `None` where they are not durable.
+    /// Appends facts with one sync; resolves to their locations, or to `None` if they are not durable.
     pub async fn append(&self, facts: Vec<FactRecord>) -> Option<Vec<FrameLocation>> {
         let (reply, locations) = oneshot::channel();
         self.jobs
@@ -146,69 +147,69 @@
         locations.await.ok()?
     }
 
-    /// Appends a fact that is durable with the next one.
-    pub fn note(&self, fact: FactRecord) {
+    /// Appends a fact without waiting for the sync.
+    pub fn append_later(&self, fact: FactRecord) {
         if self
             .jobs
             .try_send(DiskJob::Append(vec![fact], None))
             .is_err()
         {
             log::warn!(
-                "a note was not written since the disk's queue is full; the turn counts at its most"
+                "a fact was not written because the disk's queue is full; its turn counts with the token maximum"
             );
         }
     }
 
-    /// Reads turns; `None` where not all of them can be read.
+    /// Reads turns; resolves to `None` if not all of them can be read.
     pub async fn read(&self, locations: Vec<FrameLocation>) -> Option<Vec<TurnFact>> {
         self.reader.read(locations).await
     }
 
-    /// Begins a new segment, to which all live facts are then written; resolves to whether it began.
+    /// Begins a new segment, to which the caller then writes all live facts; resolves to whether it was begun.
     pub async fn begin_segment(&self) -> bool {
-        self.ask(DiskJob::BeginSegment).await
+        self.submit(DiskJob::BeginSegment).await
     }
 
-    /// Removes the segments before the one that was begun last.
-    pub fn drop_older(&self) {
-        if self.jobs.try_send(DiskJob::DropOlder).is_err() {
-            log::warn!("old segments are kept for now since the disk's queue is full");
+    /// Removes the segments before the one that `begin_segment` began last.
+    pub fn remove_older(&self) {
+        if self.jobs.try_send(DiskJob::RemoveOlder).is_err() {
+            log::warn!("old segments are not removed yet because the disk's queue is full");
         }
     }
 
-    /// Writes the state; resolves to whether it is durable.
-    pub async fn remember(&self, state: DiskState) -> bool {
-        self.ask(|reply| DiskJob::Remember(state, reply)).await
+    /// Writes the persistent state; resolves to whether it is durable.
+    pub async fn write_state(&self, state: DiskState) -> bool {
+        self.submit(|reply| DiskJob::WriteState(state, reply)).await
     }
 
-    async fn ask<Job>(&self, job: Job) -> bool
+    async fn submit<Job>(&self, job: Job) -> bool
     where
         Job: FnOnce(oneshot::Sender<bool>) -> DiskJob,
     {
-        let (reply, done) = oneshot::channel();
+        let (reply, result) = oneshot::channel();
         if self.jobs.try_send(job(reply)).is_err() {
             return false;
         }
-        done.await.unwrap_or(false)
+        result.await.unwrap_or(false)
     }
 }
 
-/// Where written bytes begin.
+/// Position at which a write began.
 #[derive(Clone, Copy, Debug)]
-struct WrittenAt {
+struct WritePosition {
     segment: u64,
     offset: u64,
 }
 
-/// Jobs that are written with one sync.
+/// Append jobs that are written with one sync.
 #[derive(Default)]
 struct AppendGroup {
     bytes: Vec<u8>,
-    answers: Vec<GroupAnswer>,
+    replies: Vec<GroupReply>,
 }
 
-/// Where the frames of one job stand in the group, and who asked.
-struct GroupAnswer {
+/// Ranges of one job's frames within the group, and the channel for the reply.
+struct GroupReply {
     frames: Vec<Range<usize>>,
     reply: AppendReply,
 }
@@ -222,21 +223,21 @@
             frames.push(start..self.bytes.len());
         }
         if let Some(reply) = reply {
-            self.answers.push(GroupAnswer { frames, reply });
+            self.replies.push(GroupReply { frames, reply });
         }
     }
 
-    fn answer(self, written: Option<WrittenAt>) {
-        for answer in self.answers {
-            let locations = written.map(|at| answer.locations(at));
-            // Whoever asked may have given up; the facts are durable all the same.
-            let _ = answer.reply.send(locations);
+    fn reply_all(self, written: Option<WritePosition>) {
+        for reply in self.replies {
+            let locations = written.map(|at| reply.locations(at));
+            // The receiver is gone if the caller has given up; the facts are durable regardless.
+            let _ = reply.reply.send(locations);
         }
     }
 }
 
-impl GroupAnswer {
-    fn locations(&self, at: WrittenAt) -> Vec<FrameLocation> {
+impl GroupReply {
+    fn locations(&self, at: WritePosition) -> Vec<FrameLocation> {
         let frames = self.frames.iter().map(|frame| FrameLocation {
             segment: at.segment,
             offset: at.offset + frame.start as u64,
@@ -250,41 +251,44 @@
     folder: PathBuf,
     number: u64,
     file: Option<File>,
-    /// Bytes in the open segment.
+    /// Size of the open segment in bytes.
     written: u64,
-    /// Segment that was begun last by a compaction.
+    /// First segment of the last compaction; older ones are removed.
     kept_from: u64,
 }
 
 impl SegmentWriter {
     fn run(&mut self, queue: &mpsc::Receiver<DiskJob>) {
-        let mut held: Option<DiskJob> = None;
+        let mut pending: Option<DiskJob> = None;
         loop {
-            let Some(first) = held.take().or_else(|| queue.recv().ok()) else {
+            let Some(first) = pending.take().or_else(|| queue.recv().ok()) else {
                 return;
             };
             match first {
-                DiskJob::Append(facts, reply) => held = self.append_group(&facts, reply, queue),
+                DiskJob::Append(facts, reply) => pending = self.append_group(&facts, reply, queue),
                 DiskJob::BeginSegment(reply) => {
                     self.file = None;
                     self.kept_from = self.number + 1;
-                    // The asker may have given up; the next segment begins all the same.
+                    // The receiver is gone if the caller has given up; the next segment begins regardless.
                     let _ = reply.send(true);
                 }
-                DiskJob::DropOlder => {
-                    log_failure("removal of old segments", self.drop_older().as_ref().err());
+                DiskJob::RemoveOlder => {
+                    log_failure(
+                        "removal of old segments",
+                        self.remove_older().as_ref().err(),
+                    );
                 }
-                DiskJob::Remember(state, reply) => {
-                    let done = self.remember(&state);
-                    log_failure("state", done.as_ref().err());
-                    // The asker may have given up; the state is written all the same.
-                    let _ = reply.send(done.is_ok());
+                DiskJob::WriteState(state, reply) => {
+                    let result = self.write_state(&state);
+                    log_failure("state", result.as_ref().err());
+                    // The receiver is gone if the caller has given up; the state is written regardless.
+                    let _ = reply.send(result.is_ok());
                 }
             }
         }
     }
 
-    /// Writes facts with all others that wait; returns the first job of another kind.
+    /// Writes facts together with all queued ones; returns the first queued job of another kind.
     fn append_group(
         &mut self,
         facts: &[FactRecord],
@@ -292,7 +296,7 @@
         queue: &mpsc::Receiver<DiskJob>,
     ) -> Option<DiskJob> {
         let mut group = AppendGroup::default();
-        let mut held = None;
+        let mut pending = None;
         group.add(facts, reply);
         for _ in 1..GROUP_LIMIT {
             if group.bytes.len() > GROUP_BYTES {
@@ -301,7 +305,7 @@
             match queue.try_recv() {
                 Ok(DiskJob::Append(facts, reply)) => group.add(&facts, reply),
                 Ok(other) => {
-                    held = Some(other);
+                    pending = Some(other);
                     break;
                 }
                 Err(_) => break,
@@ -309,20 +313,20 @@
         }
         let written = self.write_synced(&group.bytes);
         log_failure("facts", written.as_ref().err());
-        group.answer(written.ok());
-        held
+        group.reply_all(written.ok());
+        pending
     }
 
-    /// Writes bytes durably; returns where they begin.
-    fn write_synced(&mut self, bytes: &[u8]) -> io::Result<WrittenAt> {
+    /// Writes bytes durably; returns their position.
+    fn write_synced(&mut self, bytes: &[u8]) -> io::Result<WritePosition> {
         let file = match self.file.take() {
             Some(file) => file,
             None => self.next_segment()?,
         };
-        // After a failure the file is not used again: its end may be torn.
+        // After a failure the file is not reused: its last frame may be torn.
         (&file).write_all(bytes)?;
         file.sync_data()?;
-        let at = WrittenAt {
+        let at = WritePosition {
             segment: self.number,
             offset: self.written,
         };
@@ -346,7 +350,7 @@
         Ok(file)
     }
 
-    fn drop_older(&self) -> io::Result<()> {
+    fn remove_older(&self) -> io::Result<()> {
         for number in segment_numbers(&self.folder)? {
             if number < self.kept_from {
                 fs::remove_file(segment_path(&self.folder, number))?;
@@ -355,7 +359,7 @@
         File::open(&self.folder)?.sync_all()
     }
 
-    fn remember(&self, state: &DiskState) -> io::Result<()> {
+    fn write_state(&self, state: &DiskState) -> io::Result<()> {
         let mut bytes = Vec::new();
         encode_frame(state, &mut bytes);
         let draft = self.folder.join("state-draft");
@@ -369,7 +373,7 @@
 
 fn log_failure(what: &str, failure: Option<&io::Error>) {
     if let Some(error) = failure {
-        log::warn!("{what} not written to disk: {error}; a new file is tried next");
+        log::warn!("{what}: disk write failed: {error}; the next write uses a new file");
     }
 }
 
@@ -386,7 +390,7 @@
     let payload = match postcard::to_stdvec(value) {
         Ok(payload) => payload,
         Err(error) => {
-            log::error!("a fact can't be encoded: {error}; report it with the log");
+            log::error!("a fact can't be encoded: {error}; report this bug with the log");
             return;
         }
     };
@@ -396,18 +400,18 @@
     output.extend_from_slice(&payload);
 }
 
-/// Returns the payload of the whole frame at the front; `None` at the end or at damage.
+/// Returns the payload of the frame at the front; `None` at the end of the data or if the frame is torn or damaged.
 fn frame_payload(bytes: &[u8]) -> Option<&[u8]> {
     let length = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
     if length > FRAME_LIMIT {
         return None;
     }
-    let sum = bytes.get(4..FRAME_HEAD)?;
-    let payload = bytes.get(FRAME_HEAD..FRAME_HEAD + length)?;
+    let sum = bytes.get(4..FRAME_HEADER)?;
+    let payload = bytes.get(FRAME_HEADER..FRAME_HEADER + length)?;
     (checksum(payload) == sum).then_some(payload)
 }
 
-/// Decodes a whole frame; `None` where it is damaged.
+/// Decodes a complete frame; `None` if it is damaged.
 pub(super) fn decode_frame(frame: &[u8]) -> Option<FactRecord> {
     postcard::from_bytes(frame_payload(frame)?).ok()
 }
@@ -435,7 +439,7 @@
         let location = FrameLocation {
             segment,
             offset: offset as u64,
-            length: FRAME_HEAD + payload.len(),
+            length: FRAME_HEADER + payload.len(),
         };
         offset += location.length;
         match postcard::from_bytes::<FactRecord>(payload) {
@@ -445,12 +449,12 @@
             }
             Ok(fact) => {
                 recovered.facts += 1;
-                recovered.book.take(&fact, now);
-                recovered.book.place_on_disk(&fact, location);
+                recovered.index.insert(&fact, now);
+                recovered.index.set_disk_location(&fact, location);
             }
             Err(error) => {
                 log::error!(
-                    "a stored fact can't be decoded: {error}; run the version that wrote it"
+                    "a stored fact can't be decoded: {error}; run the software version that wrote it"
                 );
             }
         }
@@ -465,15 +469,15 @@
 }
 
 fn segment_numbers(folder: &Path) -> io::Result<Vec<u64>> {
-    let mut numbers = Vec::new();
+    let mut segments = Vec::new();
     for entry in fs::read_dir(folder)? {
         let name = entry?.file_name();
         let number: Option<u64> = name
             .to_str()
             .and_then(|name| name.strip_prefix(SEGMENT_PREFIX))
             .and_then(|digits| digits.parse().ok());
-        numbers.extend(number);
+        segments.extend(number);
     }
-    numbers.sort_unstable();
-    Ok(numbers)
+    segments.sort_unstable();
+    Ok(segments)
 }
--- a/crates/samphiregrade-gateway/src/fact/helper.rs
+++ b/crates/samphiregrade-gateway/src/fact/helper.rs
@@ -1,9 +1,9 @@
-//! The indirect path to keepers: an entry that doesn't reach them passes its questions on through another entry.
+//! The indirect path to keepers: an entry that doesn't reach them sends its requests through another entry, its helper.
 //!
-//! Answers the pattern of machines that are cut off from the keepers and from nothing else: the entry still reaches its
-//! clients, other entries and all upstreams, and would refuse every turn for as long as the cut lasts. A helper passes a
-//! question on to a keeper that it reaches itself, so that there is one hop and no loop. Majorities and deadlines stay as
-//! they are: a keeper answers the same whoever carries the question.
+//! Handles network partitions that separate a machine from the keepers only: the entry still reaches its clients, other
+//! entries and all upstreams, but would refuse every turn for as long as the partition lasts. A helper forwards a
+//! request only to a keeper that it reaches directly, so there is one hop and no loop. Majorities and deadlines are
+//! unaffected: a keeper's reply doesn't depend on who forwards the request.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,41 +19,43 @@
 use crate::hold::lock_ignoring_poison;
 use crate::model::DomainId;
 
-/// Helpers that are remembered.
-const KNOWN_HELPERS: usize = 16;
+/// Maximum number of known helpers.
+const MAX_KNOWN_HELPERS: usize = 16;
 
-/// Helpers that are used at a time.
-const USED_HELPERS: usize = 2;
+/// Number of helpers used at a time.
+const MAX_USED_HELPERS: usize = 2;
 
-/// Questions that a helper carries at a time; its own come first, so more are turned down.
-const CARRIED_AT_ONCE: usize = 64;
+/// Maximum number of requests that a helper forwards concurrently; further ones are rejected, because the helper's own
+/// requests take precedence.
+const MAX_CONCURRENT_FORWARDS: usize = 64;
 
-/// Time after which an entry that follows a keeper no longer counts as there: it asks every 0.4 s.
-const FOLLOWER_FRESH: Duration = Duration::from_secs(2);
+/// Time without a request after which an entry no longer counts as a follower of a keeper: followers send a request
+/// every 0.4 s.
+const FOLLOWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An entry that may carry questions.
+/// An entry that may forward requests.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HelperAddress {
-    /// Name of the instance.
+    /// Instance name.
     pub name: SmolStr,
-    /// Its address for links.
+    /// Address for links.
     pub address: std::net::SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: DomainId,
 }
 
-/// What an entry asks another one.
+/// Request of an entry to a helper.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum HelperRequest {
-    /// Asks which keepers the other one reaches.
+    /// Queries which keepers the helper reaches directly.
     Reach,
-    /// Asks it to pass a question on.
+    /// Requests that the helper forwards a request to a keeper.
     Pass {
         /// Name of the keeper.
         keeper: SmolStr,
-        /// The question.
+        /// The request to forward.
         envelope: Box<KeeperEnvelope>,
-        /// How long the asker waits.
+        /// Time for which the sender waits for the reply.
         wait: Duration,
     },
 }
@@ -63,72 +65,73 @@
 pub struct ReachedKeeper {
     /// Name of the keeper.
     pub name: SmolStr,
-    /// How long the helper has heard nothing of it.
+    /// Time since the keeper's last reply to the helper.
     pub silence: Duration,
 }
 
-/// A helper's answer.
+/// Reply of a helper.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum HelperReply {
-    /// The keepers that it reaches.
+    /// The keepers that the helper reaches directly.
     Reach(Vec<ReachedKeeper>),
-    /// The keeper's answer.
+    /// The keeper's reply.
     Passed(KeeperAnswer),
-    /// It doesn't reach the keeper, or carries too many questions.
+    /// The helper doesn't reach the keeper, or forwards too many requests already.
     NotPassed,
 }
 
-/// The entries that follow a keeper, as the keeper knows them.
+/// A keeper's table of the entries that follow it.
 #[derive(Debug, Default)]
 pub struct FollowerTable {
     followers: HashMap<SmolStr, (HelperAddress, Instant)>,
-    turn: usize,
+    cursor: usize,
 }
 
 impl FollowerTable {
-    /// Notes an entry that follows.
-    pub fn note(&mut self, follower: HelperAddress, now: Instant) {
+    /// Records a request of a following entry.
+    pub fn record(&mut self, follower: HelperAddress, now: Instant) {
         self.followers
             .insert(follower.name.clone(), (follower, now));
     }
 
-    /// Returns one of the entries that still follow, another one each time; none is the one that asks.
-    pub fn next(&mut self, asker: Option<&SmolStr>, now: Instant) -> Option<HelperAddress> {
-        self.followers
-            .retain(|_, (_, noted)| now.saturating_duration_since(*noted) < FOLLOWER_FRESH);
+    /// Returns one of the current followers other than the requester, in rotation.
+    pub fn next(&mut self, requester: Option<&SmolStr>, now: Instant) -> Option<HelperAddress> {
+        self.followers.retain(|_, (_, last_request)| {
+            now.saturating_duration_since(*last_request) < FOLLOWER_TIMEOUT
+        });
         let others: Vec<&HelperAddress> = self
             .followers
             .values()
             .map(|(follower, _)| follower)
-            .filter(|follower| Some(&follower.name) != asker)
+            .filter(|follower| Some(&follower.name) != requester)
             .collect();
-        self.turn = self.turn.wrapping_add(1);
-        let chosen = others.get(self.turn % others.len().max(1))?;
+        self.cursor = self.cursor.wrapping_add(1);
+        let chosen = others.get(self.cursor % others.len().max(1))?;
         Some((*chosen).clone())
     }
 }
 
 #[derive(Debug, Default)]
-struct BookState {
-    /// Entries that keepers have told of, the newest last.
+struct TableState {
+    /// Entries that keepers have reported, the latest last.
     known: Vec<HelperAddress>,
     used: Vec<HelperAddress>,
-    turn: usize,
+    cursor: usize,
 }
 
-/// The helpers that an entry knows, and those that it uses.
+/// The helpers that an entry knows, and those that it currently uses.
 #[derive(Debug, Default)]
 pub struct HelperTable {
-    state: Mutex<BookState>,
+    state: Mutex<TableState>,
 }
 
 impl HelperTable {
-    /// Notes an entry of which a keeper has told.
-    pub fn note(&self, helper: HelperAddress) {
+    /// Records an entry that a keeper has reported.
+    pub fn record(&self, helper: HelperAddress) {
         let mut state = lock_ignoring_poison(&self.state);
         state.known.retain(|known| known.name != helper.name);
         state.known.push(helper);
-        if state.known.len() > KNOWN_HELPERS {
+        if state.known.len() > MAX_KNOWN_HELPERS {
             state.known.remove(0);
         }
     }
@@ -139,30 +142,30 @@
         lock_ignoring_poison(&self.state).used.clone()
     }
 
-    /// Returns the helpers to ask next for whom they reach: those in use, and others until there are enough.
+    /// Returns the helpers to query next: those in use, and further known ones in rotation until there are enough.
     #[must_use]
-    pub fn next_to_ask(&self) -> Vec<HelperAddress> {
+    pub fn next_to_query(&self) -> Vec<HelperAddress> {
         let mut state = lock_ignoring_poison(&self.state);
-        let mut asked = state.used.clone();
+        let mut candidates = state.used.clone();
         let count = state.known.len();
         for _ in 0..count {
-            if asked.len() >= USED_HELPERS {
+            if candidates.len() >= MAX_USED_HELPERS {
                 break;
             }
-            state.turn = state.turn.wrapping_add(1);
-            let candidate = state.known[state.turn % count].clone();
-            if !asked.contains(&candidate) {
-                asked.push(candidate);
+            state.cursor = state.cursor.wrapping_add(1);
+            let candidate = state.known[state.cursor % count].clone();
+            if !candidates.contains(&candidate) {
+                candidates.push(candidate);
             }
         }
-        asked
+        candidates
     }
 
-    /// Notes whether a helper is of use; returns whether that has changed.
+    /// Sets whether a helper is used; returns whether that has changed.
     pub fn set_used(&self, helper: &HelperAddress, useful: bool) -> bool {
         let mut state = lock_ignoring_poison(&self.state);
-        let was = state.used.contains(helper);
-        if was == useful {
+        let was_used = state.used.contains(helper);
+        if was_used == useful {
             return false;
         }
         if useful {
@@ -173,53 +176,53 @@
         true
     }
 
-    /// Stops using helpers; returns whether any was used.
+    /// Stops using all helpers; returns whether any was used.
     pub fn clear_used(&self) -> bool {
         !std::mem::take(&mut lock_ignoring_poison(&self.state).used).is_empty()
     }
 }
 
-/// What an entry answers to others that are cut off from keepers; cloning it is cheap.
+/// Server side of a helper: handles requests of entries that don't reach the keepers; cheap to clone.
 #[derive(Clone)]
 pub struct HelperService {
     keepers: KeeperClient,
-    carried: Arc<Semaphore>,
+    forwards: Arc<Semaphore>,
     withdrawn: Arc<AtomicBool>,
 }
 
 impl HelperService {
-    /// Makes the service of an entry.
+    /// Creates the service of an entry.
     #[must_use]
     pub fn new(keepers: KeeperClient) -> Self {
         Self {
             keepers,
-            carried: Arc::new(Semaphore::new(CARRIED_AT_ONCE)),
+            forwards: Arc::new(Semaphore::new(MAX_CONCURRENT_FORWARDS)),
             withdrawn: Arc::default(),
         }
     }
 
-    /// Offers no help from now on, since the instance is about to stop. Questions that still come are carried: those
-    /// who are cut off learn within a look or two that they have to turn to another helper.
+    /// Reports no reachable keepers from now on, because the instance is about to stop. Requests that still arrive are
+    /// forwarded: within one or two queries their senders notice that they have to use another helper.
     pub fn withdraw(&self) {
         self.withdrawn.store(true, Ordering::Relaxed);
     }
 
-    /// Answers a request.
+    /// Handles a request.
     pub async fn answer(&self, request: HelperRequest) -> HelperReply {
         match request {
             HelperRequest::Reach if self.withdrawn.load(Ordering::Relaxed) => {
                 HelperReply::Reach(Vec::new())
             }
-            HelperRequest::Reach => HelperReply::Reach(self.keepers.reached_straight()),
+            HelperRequest::Reach => HelperReply::Reach(self.keepers.directly_reachable()),
             HelperRequest::Pass {
                 keeper,
                 envelope,
                 wait,
             } => {
-                let Ok(_permit) = self.carried.try_acquire() else {
+                let Ok(_permit) = self.forwards.try_acquire() else {
                     return HelperReply::NotPassed;
                 };
-                match self.keepers.pass_on(&keeper, &envelope, wait).await {
+                match self.keepers.forward(&keeper, &envelope, wait).await {
                     Some(answer) => HelperReply::Passed(answer),
                     None => HelperReply::NotPassed,
                 }
--- a/crates/samphiregrade-gateway/src/fact/indirect.rs
+++ b/crates/samphiregrade-gateway/src/fact/indirect.rs
@@ -1,4 +1,4 @@
-//! Reaching keepers through helpers.
+//! Sends requests to keepers through helpers, and forwards requests as a helper.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
 use super::placement::{KeeperPlacement, KeeperSlot};
 use crate::observe::Logbook;
 
-/// Longest wait for a helper's word on whom it reaches; it knows without asking.
+/// Timeout of a query for the keepers that a helper reaches; the helper replies from memory.
 const REACH_TIMEOUT: Duration = Duration::from_millis(150);
 
 #[derive(Serialize)]
@@ -22,24 +22,25 @@
 }
 
 impl KeeperClient {
-    /// Asks helpers whom they reach while too few keepers are within straight reach, and stops using them afterwards.
-    pub(super) async fn seek_helpers(&self, placement: &KeeperPlacement) {
+    /// Queries helpers for the keepers that they reach while too few keepers are directly reachable; otherwise stops
+    /// using helpers.
+    pub(super) async fn refresh_helpers(&self, placement: &KeeperPlacement) {
         if !self.health.needs_helpers(placement, Instant::now()) {
             if self.helpers.clear_used() {
                 log_helper("", false, 0);
             }
             return;
         }
-        let asked = self.helpers.next_to_ask();
-        let asking = asked.iter().map(|helper| self.ask_reach(helper));
-        futures_util::future::join_all(asking).await;
+        let candidates = self.helpers.next_to_query();
+        let querying = candidates.iter().map(|helper| self.query_reach(helper));
+        futures_util::future::join_all(querying).await;
     }
 
-    async fn ask_reach(&self, helper: &HelperAddress) {
-        let asking = self
+    async fn query_reach(&self, helper: &HelperAddress) {
+        let querying = self
             .links
             .request(helper.address, &HelperRequest::Reach, REACH_TIMEOUT);
-        let reached = match asking.await {
+        let reached = match querying.await {
             Ok(HelperReply::Reach(reached)) => reached,
             Ok(_) => Vec::new(),
             Err(error) => {
@@ -48,28 +49,31 @@
             }
         };
         let now = Instant::now();
-        let missed = |keeper: &ReachedKeeper| !self.health.is_straight(&keeper.name, now);
-        let useful = reached.iter().any(missed);
+        let is_needed =
+            |keeper: &ReachedKeeper| !self.health.is_directly_reachable(&keeper.name, now);
+        let useful = reached.iter().any(is_needed);
         for keeper in &reached {
-            // A cut that the helper hasn't noticed either must not look shorter than it is.
-            let heard = now.checked_sub(keeper.silence).unwrap_or(now);
-            self.health.note_indirect(&keeper.name, heard);
+            // The helper may be affected by the same partition without having noticed it: the time of the keeper's last
+            // reply to the helper is recorded, so that the partition doesn't appear shorter than it is.
+            let last_reply = now.checked_sub(keeper.silence).unwrap_or(now);
+            self.health.record_indirect_reply(&keeper.name, last_reply);
         }
         if self.helpers.set_used(helper, useful) {
             log_helper(&helper.name, useful, reached.len());
         }
     }
 
-    /// Asks a keeper through the helpers in use, one after the other; `None` where none has passed the question on.
-    pub(super) async fn ask_indirectly(
+    /// Sends a request to a keeper through the helpers in use, one after the other; `None` if none of them has returned
+    /// a reply.
+    pub(super) async fn call_indirectly(
         &self,
         slot: &KeeperSlot,
         envelope: &KeeperEnvelope,
         timeout: Duration,
     ) -> Option<KeeperAnswer> {
-        let due = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         for helper in self.helpers.used() {
-            let wait = due.saturating_duration_since(Instant::now());
+            let wait = deadline.saturating_duration_since(Instant::now());
             let request = HelperRequest::Pass {
                 keeper: slot.name.clone(),
                 envelope: Box::new(envelope.clone()),
@@ -77,7 +81,8 @@
             };
             match self.links.request(helper.address, &request, wait).await {
                 Ok(HelperReply::Passed(answer)) => {
-                    self.health.note_indirect(&slot.name, Instant::now());
+                    self.health
+                        .record_indirect_reply(&slot.name, Instant::now());
                     return Some(answer);
                 }
                 Ok(_) => {}
@@ -90,20 +95,20 @@
         None
     }
 
-    /// Returns whether keepers are reached through helpers.
+    /// Returns whether any helper is in use.
     #[must_use]
     pub fn uses_helpers(&self) -> bool {
         !self.helpers.used().is_empty()
     }
 
-    /// Returns the keepers that this instance reaches itself.
+    /// Returns the keepers that this instance reaches directly.
     #[must_use]
-    pub fn reached_straight(&self) -> Vec<ReachedKeeper> {
+    pub fn directly_reachable(&self) -> Vec<ReachedKeeper> {
         let placement = self.placement.load_full();
         let now = Instant::now();
         let mut reached = Vec::new();
         for slot in &placement.slots {
-            if !self.health.is_straight(&slot.name, now) {
+            if !self.health.is_directly_reachable(&slot.name, now) {
                 continue;
             }
             reached.push(ReachedKeeper {
@@ -114,8 +119,8 @@
         reached
     }
 
-    /// Passes another entry's question on to a keeper that this instance reaches itself.
-    pub async fn pass_on(
+    /// Forwards another entry's request to a keeper that this instance reaches directly.
+    pub async fn forward(
         &self,
         keeper: &SmolStr,
         envelope: &KeeperEnvelope,
@@ -123,12 +128,15 @@
     ) -> Option<KeeperAnswer> {
         let placement = self.placement.load_full();
         let slot = placement.slots.iter().find(|slot| slot.name == *keeper)?;
-        if !self.health.is_straight(&slot.name, Instant::now()) {
+        if !self
+            .health
+            .is_directly_reachable(&slot.name, Instant::now())
+        {
             return None;
         }
         match self.links.request(slot.address, envelope, wait).await {
             Ok(answer) => {
-                self.health.note(&slot.name, Instant::now());
+                self.health.record_reply(&slot.name, Instant::now());
                 Some(answer)
             }
             Err(error) => {
--- a/crates/samphiregrade-gateway/src/fact/message.rs
+++ b/crates/samphiregrade-gateway/src/fact/message.rs
@@ -1,4 +1,4 @@
-//! Facts, and what instances say to keepers.
+//! Facts, and the requests and replies that instances and keepers exchange.
 
 use std::time::Duration;
 
@@ -15,71 +15,71 @@
     AccountQuery, OutcomeDelta, ProgramProgress, RunEnd, RunStart, UpstreamAccount, UpstreamSuspect,
 };
 
-/// A turn whose answer is whole: never changed once written.
+/// A completed turn; never changes once it is written.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TurnFact {
     /// The program.
     pub program: ProgramId,
     /// The turn.
     pub turn: TurnId,
-    /// The turn that it continues from.
+    /// The turn that this one continues.
     pub previous: Option<TurnId>,
-    /// What the client sent.
+    /// Data that the client sent.
     pub input: Bytes,
-    /// The data of each event, each with a line feed.
+    /// The data of each event of the response, each followed by a line feed.
     pub output: Bytes,
-    /// Tokens that it made.
+    /// Number of generated tokens.
     pub spent: u32,
-    /// Where it ran.
+    /// Where the turn ran.
     pub place: Option<TurnPlace>,
-    /// How long it is kept after its last use.
+    /// Retention time after the turn's last use.
     pub keep: Duration,
 }
 
-/// Where a turn ran: its tokens are cached there.
+/// Where a turn ran: the upstream has its tokens in the cache.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TurnPlace {
-    /// The line of turns.
+    /// The session to which the turn belongs.
     pub session: SessionId,
     /// The upstream.
     pub upstream: UpstreamId,
-    /// When it had started: one that has started again since has nothing cached.
+    /// Start of the upstream's process; an upstream that has restarted since has an empty cache.
     pub started: Option<UpstreamStart>,
-    /// Tokens of its prompt and its answer.
+    /// Number of tokens of the turn's prompt and response.
     pub tokens: u32,
 }
 
-/// Tokens set aside for a turn before it is dispatched, and what it took.
+/// Tokens reserved for a turn before it is dispatched, and the tokens that it used.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Reservation {
     /// The turn.
     pub turn: TurnId,
-    /// Most tokens that it may make.
+    /// Maximum number of tokens that the turn may generate.
     pub most: u32,
-    /// Tokens handed out; `None` until the turn has ended.
+    /// Number of tokens delivered to the client; `None` until the turn has ended.
     pub spent: Option<u32>,
-    /// Where it ran, once it has ended.
+    /// Where the turn ran, once it has ended.
     pub place: Option<TurnPlace>,
-    /// Time that its program had left when it came, where its caller said so.
+    /// Time left to the program when the turn arrived, if the caller specified it.
     pub program_left: Option<Duration>,
 }
 
-/// Reservations of a program that a keeper knows.
+/// The known reservations of a program.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ProgramLedger {
-    /// The reservations, in no order.
+    /// The reservations, in no particular order.
     pub reservations: Vec<Reservation>,
 }
 
 impl ProgramLedger {
-    /// Adds what another keeper knows.
+    /// Merges the reservations that another keeper knows.
     pub fn merge(&mut self, other: Self) {
         for reservation in other.reservations {
             self.add(reservation);
         }
     }
 
-    /// Adds a reservation or what is newly known of it; returns whether that told anything new.
+    /// Adds a reservation or merges it into the known one of the same turn; returns whether anything changed.
     pub fn add(&mut self, reservation: Reservation) -> bool {
         let known = self
             .reservations
@@ -99,7 +99,7 @@
         *known != before
     }
 
-    /// Returns where the line's last known turn ran, or the program's where the line is new.
+    /// Returns where the last known turn of a session ran; for a new session, where the program's last turn ran.
     #[must_use]
     pub fn last_place(&self, session: Option<&SessionId>) -> Option<&TurnPlace> {
         let places = || {
@@ -112,7 +112,7 @@
         own.or_else(|| places().next())
     }
 
-    /// Returns how far the program has come; its own hash and the time that it has left now are the caller's.
+    /// Returns the program's progress, without the program's hash and the time that is left now, which the caller sets.
     #[must_use]
     pub fn progress(&self) -> ProgramProgress {
         let mut progress = ProgramProgress::default();
@@ -127,35 +127,35 @@
         progress
     }
 
-    /// Returns whether the budget holds one more turn, counting at their most all that have not ended.
+    /// Returns whether one more turn fits into a budget; turns that have not ended count with their token maximum.
     #[must_use]
-    pub fn holds(&self, budget: u64, turn: &TurnId, most: u32) -> bool {
-        let mut taken = u64::from(most);
+    pub fn fits_budget(&self, budget: u64, turn: &TurnId, most: u32) -> bool {
+        let mut required = u64::from(most);
         for reservation in &self.reservations {
             if reservation.turn == *turn {
                 continue;
             }
-            taken += u64::from(reservation.spent.unwrap_or(reservation.most));
+            required += u64::from(reservation.spent.unwrap_or(reservation.most));
         }
-        taken <= budget
+        required <= budget
     }
 }
 
-/// A fact as it is stored on disk and handed to a keeper that rebuilds.
+/// A fact as it is stored on disk and exported to a rebuilding keeper.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum FactRecord {
-    /// Tokens set aside, or what a turn took.
+    /// Tokens that a turn has reserved or used.
     Reservation {
         /// The program.
         program: ProgramId,
         /// The reservation.
         reservation: Reservation,
-        /// How long it is kept after its program's last use.
+        /// Retention time after the program's last use.
         keep: Duration,
     },
-    /// A whole turn.
+    /// A completed turn.
     Turn(TurnFact),
-    /// What organisations used of their limits, by a home's account.
+    /// Uses of organisations' limits, as counted by their home.
     LimitUses {
         /// Time on the home's clock.
         at: LedgerTime,
@@ -165,7 +165,7 @@
 }
 
 impl FactRecord {
-    /// Returns the fact as the index knows it: a turn without what it said.
+    /// Returns the fact without a turn's content.
     #[must_use]
     pub fn without_content(&self) -> Self {
         let mut fact = self.clone();
@@ -176,9 +176,9 @@
         fact
     }
 
-    /// Returns about how many bytes the fact takes on disk.
+    /// Returns the approximate size of the fact on disk, in bytes.
     #[must_use]
-    pub fn bytes(&self) -> usize {
+    pub fn estimated_bytes(&self) -> usize {
         match self {
             Self::Reservation { .. } => 120,
             Self::LimitUses { uses, .. } => 20 + 20 * uses.len(),
@@ -187,68 +187,68 @@
     }
 }
 
-/// What a keeper that rebuilds asks another one for.
+/// Request of a rebuilding keeper for facts of another one.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ExportRequest {
-    /// The placement under which it asks.
+    /// The requester's placement.
     pub placement: KeeperPlacement,
-    /// The part, from 0.
+    /// Number of the requested part, from 0.
     pub part: u8,
-    /// The slot of the keeper that asks; `None` for all facts of the part.
+    /// The requester's slot; `None` requests all facts of the part.
     pub slot: Option<usize>,
-    /// Marks of the turns that it has already.
+    /// Digests of the turns that the requester has already.
     pub known: Vec<u64>,
 }
 
 /// A request to a keeper.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum KeeperRequest {
-    /// Stores a fact durably and returns what is known of its program's budget.
+    /// Stores a fact durably and returns the program's known reservations.
     Reserve(FactRecord),
     /// Stores a fact durably.
     Store(FactRecord),
-    /// Stores a fact; it is durable a little later.
+    /// Stores a fact; the reply doesn't wait until it is durable.
     Note(FactRecord),
-    /// Asks for the chain that ends with a turn.
+    /// Queries the chain that ends with a turn.
     Chain(TurnId),
-    /// Asks for one of the parts into which all facts are divided, as far as a slot's keeper has to have them.
+    /// Requests the facts of one part that the keeper of a slot must have.
     Export(ExportRequest),
-    /// Asks whether the keeper is there.
+    /// Checks whether the keeper responds.
     Probe,
-    /// Tells of a request that is about to be sent to an upstream for which the keeper accounts.
+    /// Reports that a request is about to be sent to an upstream whose account the keeper holds.
     RunBegan(RunStart),
-    /// Tells of a request that is over there.
+    /// Reports that a request at such an upstream has ended.
     RunEnded(RunEnd),
-    /// Asks how upstreams stand for which the keeper accounts.
+    /// Queries the accounts of upstreams that the keeper holds.
     Accounts(AccountQuery),
-    /// Asks which configuration was the newest one, and when.
+    /// Queries which configuration was the newest one, and when.
     Confirm,
-    /// Asks for tokens of an organisation's limit.
+    /// Requests tokens of an organisation's limit.
     Allowance(AllowanceRequest),
-    /// Asks what is new in the key-value service.
+    /// Requests changes of the key-value service.
     Follow {
-        /// What it knows.
+        /// The follower's position and the longest wait.
         request: StreamRequest,
-        /// The one who asks.
+        /// The entry that sends the request.
         follower: HelperAddress,
     },
 }
 
-/// A request with the placement that its sender knows.
+/// A request with the generation of the placement that its sender knows.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct KeeperEnvelope {
     /// Generation of the sender's placement.
     pub generation: PlacementGeneration,
-    /// The entry that sends it; 0 where it is none.
+    /// Tag of the sending entry; 0 if the sender is not an entry.
     pub sender: InstanceTag,
-    /// What has become of requests at upstreams since the sender told the keeper last.
+    /// Outcomes of requests at upstreams since the sender's last report to the keeper.
     pub outcomes: Vec<OutcomeDelta>,
     /// The request.
     pub request: KeeperRequest,
 }
 
 impl KeeperEnvelope {
-    /// Returns the envelope of a keeper's own request, which tells nothing of upstreams.
+    /// Returns the envelope of a request between keepers, which reports no outcomes.
     #[must_use]
     pub fn between_keepers(generation: PlacementGeneration, request: KeeperRequest) -> Self {
         Self {
@@ -260,28 +260,28 @@
     }
 }
 
-/// What a keeper knows of a chain.
+/// A keeper's result of a chain query.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ChainAnswer {
-    /// All its turns, joined: inputs and outputs from the oldest on.
+    /// The complete chain: concatenated inputs and outputs, oldest first.
     Found(Bytes),
-    /// Its newer turns, joined; other keepers have the rest, since each fact is on a majority only.
+    /// The chain's newer turns, concatenated; other keepers have the rest, because each fact is on a majority only.
     Partial {
-        /// The oldest turn that the keeper doesn't have.
+        /// The newest turn of the chain that the keeper doesn't have.
         missing: TurnId,
         /// The turns after it.
         newer: Bytes,
     },
-    /// The keeper has lost nothing and does not have the turn itself.
+    /// The keeper is complete and doesn't have the turn.
     Absent,
-    /// The keeper is still rebuilding and can't tell.
+    /// The keeper is still rebuilding and doesn't know whether the turn exists.
     Unknown,
 }
 
-/// A keeper's reply, with what it tells each time.
+/// A keeper's reply, with the data that accompanies every reply.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct KeeperAnswer {
-    /// Revision of the key-value service up to which the keeper knows everything.
+    /// Revision of the key-value service up to which the keeper knows all changes.
     pub revision: StoreRevision,
     /// The reply.
     pub reply: KeeperReply,
@@ -292,55 +292,55 @@
 pub enum KeeperReply {
     /// The reservation is durable.
     Reserved {
-        /// What is known of the program, the new reservation included.
+        /// The program's known reservations, including the new one.
         ledger: ProgramLedger,
-        /// Whether the keeper has everything that it ever stored.
+        /// Whether the keeper has every fact that it has ever acknowledged.
         complete: bool,
-        /// Upstreams that fail, by all entries' account.
+        /// Upstreams that fail according to the outcomes reported by all entries.
         suspects: Vec<UpstreamSuspect>,
     },
     /// The fact is stored.
     Stored,
-    /// The chain.
+    /// Result of a chain query.
     Chain(ChainAnswer),
-    /// One part of all facts.
+    /// One of the parts into which facts are divided.
     Part {
         /// The facts.
         facts: Vec<FactRecord>,
-        /// Whether the keeper has everything that it ever stored.
+        /// Whether the keeper has every fact that it has ever acknowledged.
         complete: bool,
     },
-    /// The keeper is there.
+    /// Reply to a probe.
     Alive {
-        /// Whether it has everything that it ever stored.
+        /// Whether the keeper has every fact that it has ever acknowledged.
         complete: bool,
-        /// Upstreams that fail, by all entries' account.
+        /// Upstreams that fail according to the outcomes reported by all entries.
         suspects: Vec<UpstreamSuspect>,
     },
-    /// How upstreams stand.
+    /// Accounts of upstreams.
     Accounts {
-        /// Those that were asked for, and some that have room.
+        /// Accounts of the queried upstreams, and of some that have free capacity.
         accounts: Vec<UpstreamAccount>,
-        /// Upstreams that fail, by all entries' account.
+        /// Upstreams that fail according to the outcomes reported by all entries.
         suspects: Vec<UpstreamSuspect>,
-        /// An entry that may carry questions.
+        /// An entry that may forward requests.
         helper: Option<HelperAddress>,
     },
-    /// What is new in the key-value service.
+    /// Changes of the key-value service.
     Stream {
-        /// What is new.
+        /// The changes.
         reply: StreamReply,
-        /// An entry that may carry questions.
+        /// An entry that may forward requests.
         helper: Option<HelperAddress>,
     },
-    /// The newest configuration at a moment; `None` where the keeper knows of none.
+    /// The newest configuration at a point in time; `None` if the keeper knows none.
     Confirmed(Option<ConfigurationProof>),
     /// Tokens of an organisation's limit.
     Allowance(AllowanceGrant),
-    /// What was told is noted.
+    /// The report is recorded.
     Noted,
-    /// The sender's placement is old; this is the newer one.
+    /// The sender's placement is outdated; carries the newer one.
     NewerPlacement(KeeperPlacement),
-    /// The disk did not take the fact.
+    /// The fact could not be written to disk, or facts could not be read from it.
     NotStored,
 }
--- a/crates/samphiregrade-gateway/src/fact/mod.rs
+++ b/crates/samphiregrade-gateway/src/fact/mod.rs
@@ -1,8 +1,8 @@
-//! What lasts: write-once facts about turns and budgets, kept by several keeper instances.
+//! Durable storage: write-once facts about turns and budgets, replicated on several keeper instances.
 //!
-//! A fact needs no order among writers, so there is no log that all agree on, no primary and no epoch on a
-//! request's way: it is written to a majority of a program's copies, and whoever needs it asks so many of
-//! them that every majority is met.
+//! Facts need no order among writers, so the request path involves no replicated log, no primary and no epoch. A fact
+//! is written to a majority of a program's copies; a reader queries so many copies that they include a member of every
+//! majority.
 
 mod accounts;
 mod allowances;
--- a/crates/samphiregrade-gateway/src/fact/news.rs
+++ b/crates/samphiregrade-gateway/src/fact/news.rs
@@ -1,4 +1,4 @@
-//! Which revisions keepers have told beside their answers, for the one who follows one of them.
+//! Revisions that keepers report with their replies, from which the follower of one keeper sees that its source lags.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
@@ -10,47 +10,48 @@
 use crate::hold::lock_ignoring_poison;
 use crate::store::LagTracker;
 
-/// What keepers have told of the key-value service's revisions, with a signal for the one who follows one of them.
+/// Tracks the key-value service's revisions that keepers report, and signals the follower of a keeper that lags.
 #[derive(Debug, Default)]
 pub struct LagMonitor {
-    news: Mutex<LagTracker>,
-    fell_behind: Notify,
+    tracker: Mutex<LagTracker>,
+    lag_began: Notify,
 }
 
 impl LagMonitor {
-    /// Notes the revision up to which a keeper knows everything.
-    pub fn hear(&self, keeper: &SmolStr, revision: StoreRevision) {
-        if lock_ignoring_poison(&self.news).hear(keeper, revision, Instant::now()) {
-            self.fell_behind.notify_one();
+    /// Records the revision up to which a keeper knows all changes.
+    pub fn record(&self, keeper: &SmolStr, revision: StoreRevision) {
+        if lock_ignoring_poison(&self.tracker).record(keeper, revision, Instant::now()) {
+            self.lag_began.notify_one();
         }
     }
 
-    /// Notes that this instance knows everything up to a revision.
+    /// Records that this instance knows all changes up to a revision.
     pub fn advance(&self, position: StoreRevision) {
-        lock_ignoring_poison(&self.news).take(position);
+        lock_ignoring_poison(&self.tracker).advance(position);
     }
 
-    /// Returns the newest revision that was told, and who told it first.
+    /// Returns the newest reported revision and the keeper that reported it first.
     #[must_use]
     pub fn newest(&self) -> (StoreRevision, SmolStr) {
-        let news = lock_ignoring_poison(&self.news);
-        (news.newest(), news.teller().clone())
+        let tracker = lock_ignoring_poison(&self.tracker);
+        (tracker.newest(), tracker.reporter().clone())
     }
 
-    /// Returns how long somebody has been known to know more than this instance.
+    /// Returns how long this instance has lagged behind a reported revision; zero if it doesn't.
     #[must_use]
     pub fn duration(&self) -> Duration {
-        let since = lock_ignoring_poison(&self.news).behind_since();
+        let since = lock_ignoring_poison(&self.tracker).lagging_since();
         since.map_or(Duration::ZERO, |since| since.elapsed())
     }
 
-    /// Resolves when a source that was turned to at a moment is to be left, since others have known more for too long.
-    pub async fn wait_until_stale(&self, turned: Instant, patience: Duration) {
+    /// Resolves when a source that has been followed since `followed_since` counts as stale: a newer revision was
+    /// reported and the source hasn't delivered it within the timeout.
+    pub async fn wait_until_stale(&self, followed_since: Instant, timeout: Duration) {
         loop {
-            let due = lock_ignoring_poison(&self.news).leave_at(turned, patience);
-            match due {
-                None => self.fell_behind.notified().await,
-                Some(due) => return tokio::time::sleep_until(due.into()).await,
+            let deadline = lock_ignoring_poison(&self.tracker).stale_at(followed_since, timeout);
+            match deadline {
+                None => self.lag_began.notified().await,
+                Some(deadline) => return tokio::time::sleep_until(deadline.into()).await,
             }
         }
     }
--- a/crates/samphiregrade-gateway/src/fact/placement.rs
+++ b/crates/samphiregrade-gateway/src/fact/placement.rs
@@ -1,8 +1,8 @@
-//! Which keepers hold a program's facts.
+//! Assignment of programs to the keepers that hold their facts.
 //!
-//! The placement is one small value in the platform's key-value service, changed by compare-and-swap when an
-//! instance takes another's slot. Slots stay; so a change touches only the groups with that slot, one
-//! member at a time, and any two majorities before and after it share a member.
+//! The placement is one small value in the key-value service, changed by compare-and-swap when an instance takes over
+//! another instance's slot. Slots are never removed, so a change affects only the groups that include the slot, and
+//! only one member of each: any two majorities before and after the change share a member.
 
 use std::net::SocketAddr;
 
@@ -12,33 +12,33 @@
 use crate::mix::hash_pair;
 use crate::model::{DomainId, UpstreamTag};
 
-/// Number of a placement; a higher one is newer.
+/// Version number of a placement; a higher one is newer.
 pub type PlacementGeneration = u64;
 
-/// A slot with the instance in it.
+/// A slot and the instance that holds it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct KeeperSlot {
     /// Name of the instance.
     pub name: SmolStr,
-    /// Its address for links.
+    /// The instance's address for links.
     pub address: SocketAddr,
-    /// Failure domain for which the slot was made; it stays when another instance takes the slot.
+    /// Failure domain for which the slot was created; unchanged when another instance takes over the slot.
     pub domain: DomainId,
 }
 
-/// All slots.
+/// All slots and the number of copies.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct KeeperPlacement {
-    /// Its number.
+    /// Version number.
     pub generation: PlacementGeneration,
-    /// Copies of each program's facts.
+    /// Number of copies of each program's facts.
     pub copies: usize,
     /// The slots.
     pub slots: Vec<KeeperSlot>,
 }
 
 impl KeeperPlacement {
-    /// Makes the first placement.
+    /// Creates the first placement.
     #[must_use]
     pub fn first(mut slots: Vec<KeeperSlot>, tolerated_losses: usize) -> Self {
         slots.sort_by(|left, right| left.name.cmp(&right.name));
@@ -49,39 +49,40 @@
         }
     }
 
-    /// Returns the copies with which a majority outlasts the given losses.
+    /// Returns the number of copies of which a majority survives the given number of simultaneous losses.
     #[must_use]
     pub fn wanted_copies(tolerated_losses: usize) -> usize {
         2 * tolerated_losses + 1
     }
 
-    /// Returns how many copies make a write durable.
+    /// Returns the number of copies that make a write durable.
     #[must_use]
     pub fn majority(&self) -> usize {
         self.copies / 2 + 1
     }
 
-    /// Returns how many complete keepers of a group have to say no until every majority is met.
+    /// Returns how many complete keepers of a group have to reply so that they include a member of every majority.
     #[must_use]
-    pub fn meets_majorities(&self) -> usize {
+    pub fn read_quorum(&self) -> usize {
         self.copies - self.majority() + 1
     }
 
-    /// Returns how many complete keepers of all have to say no where the group isn't known.
+    /// Returns how many complete keepers of all slots have to reply so that they include a member of every majority of
+    /// any group.
     #[must_use]
-    pub fn meets_majorities_anywhere(&self) -> usize {
+    pub fn global_read_quorum(&self) -> usize {
         (self.slots.len() + 1).saturating_sub(self.majority())
     }
 
-    /// Returns how many other keepers one that lost its disk has to read.
+    /// Returns how many other keepers a keeper that lost its disk has to read.
     #[must_use]
     pub fn rebuild_sources(&self) -> usize {
         let others = self.slots.len().saturating_sub(1);
-        let spared = self.majority().saturating_sub(2);
-        others.saturating_sub(spared)
+        let skippable = self.majority().saturating_sub(2);
+        others.saturating_sub(skippable)
     }
 
-    /// Returns the slots of a program's group, spread over failure domains.
+    /// Returns the slots of a program's group, spread across failure domains.
     #[must_use]
     pub fn group(&self, program: &str) -> Vec<usize> {
         let mut ranked: Vec<usize> = (0..self.slots.len()).collect();
@@ -89,14 +90,14 @@
             return ranked;
         }
         ranked.sort_by_cached_key(|&index| slot_rank(program, index));
-        let most = self.copies.div_ceil(self.domain_count().max(1));
+        let max_per_domain = self.copies.div_ceil(self.domain_count().max(1));
         let mut chosen: Vec<usize> = Vec::with_capacity(self.copies);
         for &index in &ranked {
             let domain = &self.slots[index].domain;
             let same = chosen
                 .iter()
                 .filter(|&&other| self.slots[other].domain == *domain);
-            if chosen.len() < self.copies && same.count() < most {
+            if chosen.len() < self.copies && same.count() < max_per_domain {
                 chosen.push(index);
             }
         }
@@ -108,7 +109,7 @@
         chosen
     }
 
-    /// Returns the slots that account for an upstream: two, in two failure domains where there are as many.
+    /// Returns the two slots whose keepers hold an upstream's account, in two failure domains if there are as many.
     #[must_use]
     pub fn account_slots(&self, upstream: UpstreamTag) -> Vec<usize> {
         let rank = |&index: &usize| hash_pair(upstream, index as u64);
@@ -122,13 +123,13 @@
         std::iter::once(first).chain(second).collect()
     }
 
-    /// Returns the slot of an instance.
+    /// Returns the index of an instance's slot.
     #[must_use]
     pub fn slot_of(&self, name: &str) -> Option<usize> {
         self.slots.iter().position(|slot| slot.name == name)
     }
 
-    /// Returns the placement in which another instance, or the same at another address, has the slot.
+    /// Returns the next placement, in which another instance, or the same one at another address, holds the slot.
     #[must_use]
     pub fn with_slot_holder(&self, index: usize, name: &str, address: SocketAddr) -> Self {
         let mut next = self.clone();
--- a/crates/samphiregrade-gateway/src/fact/proofs.rs
+++ b/crates/samphiregrade-gateway/src/fact/proofs.rs
@@ -1,4 +1,4 @@
-//! Asking keepers how fresh the configuration is.
+//! Requests to keepers for proofs of the configuration's freshness.
 
 use std::time::{Duration, Instant};
 
@@ -7,12 +7,12 @@
 use super::placement::KeeperSlot;
 use crate::store::ConfigurationProof;
 
-/// Longest wait for a keeper, which may have to read first.
+/// Timeout of a request for a proof; the keeper may have to read the configuration first.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl KeeperClient {
-    /// Returns the keepers within reach in the order in which they are asked for proofs: those of the own failure domain
-    /// first, in an order that all of its instances share, so that one keeper reads for all.
+    /// Returns the reachable keepers in the order in which proofs are requested from them: those of the own failure
+    /// domain first, in an order shared by all of the domain's instances, so that one keeper reads for all of them.
     #[must_use]
     pub fn proof_sources(&self) -> Vec<KeeperSlot> {
         let placement = self.placement.load_full();
@@ -20,23 +20,23 @@
         let mut proof_sources: Vec<KeeperSlot> = placement
             .slots
             .iter()
-            .filter(|slot| self.health.is_within_reach(&slot.name, now))
+            .filter(|slot| self.health.is_reachable(&slot.name, now))
             .cloned()
             .collect();
         proof_sources.sort_by_key(|slot| slot.domain != self.own.domain);
         proof_sources
     }
 
-    /// Asks a keeper which configuration was the newest one, and when.
+    /// Queries a keeper for the newest configuration at a point in time.
     pub async fn request_proof(&self, slot: &KeeperSlot) -> Option<ConfigurationProof> {
         let placement = self.placement.load_full();
-        let asking = self.ask(
+        let reply = self.call(
             slot.clone(),
             &placement,
             KeeperRequest::Confirm,
             CONFIRM_TIMEOUT,
         );
-        match asking.await {
+        match reply.await {
             Some(KeeperReply::Confirmed(proof)) => proof,
             _ => None,
         }
--- a/crates/samphiregrade-gateway/src/fact/reach.rs
+++ b/crates/samphiregrade-gateway/src/fact/reach.rs
@@ -1,18 +1,18 @@
-//! Watching which keepers are within reach.
+//! Monitors which keepers are reachable.
 
 use std::time::{Duration, Instant};
 
 use serde::Serialize;
 use tokio_util::sync::CancellationToken;
 
-use super::client::{ASK_TIMEOUT, KeeperClient};
+use super::client::{KeeperClient, REQUEST_TIMEOUT};
 use super::message::KeeperRequest;
 use super::placement::{KeeperPlacement, PlacementGeneration};
 use crate::model::DomainId;
 use crate::observe::Logbook;
 
-/// Time between two looks at silent keepers.
-const HEALTH_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between two checks for unresponsive keepers.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Serialize)]
 struct ReachLine {
@@ -23,37 +23,37 @@
 }
 
 impl KeeperClient {
-    /// Returns how long too few keepers have answered for every program to be served; zero while enough do.
+    /// Returns how long this instance has reached too few keepers to serve most programs; zero if it reaches enough.
     #[must_use]
     pub fn cut_off_for(&self) -> Duration {
         self.health.cut_off_for(Instant::now())
     }
 
-    /// Returns the failure domains whose keepers have all been silent for a while.
+    /// Returns the failure domains none of whose keepers has replied for a while.
     #[must_use]
     pub fn silent_domains(&self) -> Vec<DomainId> {
         self.health
             .silent_domains(&self.placement.load(), Instant::now())
     }
 
-    /// Asks each keeper that has been silent for a while whether it is there, until cancelled.
+    /// Probes keepers that have not replied for a while and keeps the helpers up to date, until cancelled.
     pub async fn watch_health(self, cancel: CancellationToken) {
         loop {
             tokio::select! {
                 () = cancel.cancelled() => return,
-                () = tokio::time::sleep(HEALTH_INTERVAL) => {}
+                () = tokio::time::sleep(HEALTH_CHECK_INTERVAL) => {}
             }
             let placement = self.placement.load_full();
-            if self.health.judge(&placement, Instant::now()) {
+            if self.health.update_cut_off(&placement, Instant::now()) {
                 self.log_reach(&placement);
             }
-            self.seek_helpers(&placement).await;
-            for slot in self.health.silent(&placement, Instant::now()) {
+            self.refresh_helpers(&placement).await;
+            for slot in self.health.unresponsive(&placement, Instant::now()) {
                 let client = self.clone();
                 let placement = placement.clone();
                 tokio::spawn(async move {
                     client
-                        .ask_straight(&slot, &placement, KeeperRequest::Probe, ASK_TIMEOUT)
+                        .call_directly(&slot, &placement, KeeperRequest::Probe, REQUEST_TIMEOUT)
                         .await
                 });
             }
@@ -65,7 +65,7 @@
         let line = ReachLine {
             cut_off: !self.health.cut_off_for(now).is_zero(),
             generation: placement.generation,
-            within_reach: self.health.reachable(&placement.slots, now),
+            within_reach: self.health.reachable_count(&placement.slots, now),
             keepers: placement.slots.len(),
         };
         Logbook::global().record("keepers-reach", &line);
--- a/crates/samphiregrade-gateway/src/fact/reader.rs
+++ b/crates/samphiregrade-gateway/src/fact/reader.rs
@@ -1,4 +1,4 @@
-//! Reading facts back from segments, on a thread of its own: a slow disk must hold up nobody else.
+//! Reads facts back from segments on a separate thread, so that a slow disk doesn't delay other work.
 
 use std::collections::HashMap;
 use std::fs::File;
@@ -14,29 +14,29 @@
 use super::disk::{decode_frame, segment_path};
 use super::message::{FactRecord, TurnFact};
 
-/// Reads that may wait; more are refused at once.
+/// Maximum number of queued reads; further ones are rejected at once.
 const QUEUE_LIMIT: usize = 1024;
 
-/// Segments that are kept open.
-const OPEN_LIMIT: usize = 64;
+/// Maximum number of segment files kept open.
+const OPEN_FILE_LIMIT: usize = 64;
 
 struct ReadJob {
     locations: Vec<FrameLocation>,
     reply: oneshot::Sender<Option<Vec<TurnFact>>>,
 }
 
-/// The reading side of a folder; cloning it is cheap.
+/// Reader of a data folder; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct FactReader {
     jobs: mpsc::SyncSender<ReadJob>,
 }
 
 impl FactReader {
-    /// Starts the thread that reads.
+    /// Starts the reading thread.
     ///
     /// # Errors
     ///
-    /// The system's error where no thread can be started.
+    /// The system's error if no thread can be started.
     pub fn start(folder: &Path) -> io::Result<Self> {
         let (jobs, queue) = mpsc::sync_channel::<ReadJob>(QUEUE_LIMIT);
         let mut files = SegmentFiles {
@@ -48,14 +48,14 @@
             .spawn(move || {
                 while let Ok(job) = queue.recv() {
                     let facts = files.read_all(&job.locations);
-                    // The asker may have given up.
+                    // The receiver is gone if the caller has given up.
                     let _ = job.reply.send(facts);
                 }
             })?;
         Ok(Self { jobs })
     }
 
-    /// Reads turns; `None` where not all of them can be read.
+    /// Reads turns; resolves to `None` if not all of them can be read.
     pub async fn read(&self, locations: Vec<FrameLocation>) -> Option<Vec<TurnFact>> {
         if locations.is_empty() {
             return Some(Vec::new());
@@ -80,7 +80,7 @@
                 Err(error) => {
                     self.open.remove(&location.segment);
                     log::warn!(
-                        "a turn can't be read from segment {}: {error}",
+                        "can't read a turn from segment {}: {error}",
                         location.segment
                     );
                     return None;
@@ -102,7 +102,7 @@
 
     fn file(&mut self, segment: u64) -> io::Result<&File> {
         if !self.open.contains_key(&segment) {
-            if self.open.len() >= OPEN_LIMIT {
+            if self.open.len() >= OPEN_FILE_LIMIT {
                 self.open.clear();
             }
             let file = File::open(segment_path(&self.folder, segment))?;
--- a/crates/samphiregrade-gateway/src/fact/rebuild.rs
+++ b/crates/samphiregrade-gateway/src/fact/rebuild.rs
@@ -1,4 +1,4 @@
-//! Reading back what a keeper without its disk had stored.
+//! Rebuilds a keeper that has lost its disk from the facts of the other keepers.
 
 use std::time::Duration;
 
@@ -13,84 +13,87 @@
 use crate::link::LinkEndpoint;
 use crate::observe::Logbook;
 
-/// Longest wait for one part: at the size of a small disk it is well under a megabyte.
+/// Timeout of a request for one part, which is well under a megabyte for a small disk.
 const PART_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Pause between two rounds over keepers that could not be read.
-const ROUND_PAUSE: Duration = Duration::from_millis(200);
+/// Delay between two rounds over the keepers that have not been read completely.
+const ROUND_DELAY: Duration = Duration::from_millis(200);
 
-/// Parts that are read at once: each waits for round trips and syncs.
-const PARTS_AT_ONCE: usize = 6;
+/// Number of parts read concurrently: each of them waits for round trips and syncs.
+const CONCURRENT_PARTS: usize = 6;
 
-/// What was read of another keeper.
+/// Progress of reading another keeper's facts.
 #[derive(Clone, Debug, Serialize)]
-struct ReadSource {
+struct SourceProgress {
     name: SmolStr,
-    /// Facts that were new here.
+    /// Number of facts received.
     facts: usize,
-    /// Whether it has lost nothing.
+    /// Whether the other keeper is complete.
     complete: bool,
-    /// Why not all of it is here; empty where all of it is.
+    /// Why not all of its facts are durable here; empty if they are.
     failure: String,
 }
 
-/// Reads all facts of the other keepers; ends when nothing more can be learnt.
+/// Reads all facts of the other keepers; returns when no further facts can be recovered.
 ///
-/// Any fact that this keeper had acknowledged was acknowledged by a majority; so enough complete keepers
-/// among the others, so that every majority is met, have it among them. Where there are too few of these,
-/// because too many disks were lost at once, all that is left is in the others: it ends when each of them
-/// has been read.
+/// A fact that this keeper had acknowledged was stored by a majority, so it is found once the complete keepers among
+/// those read include a member of every majority. If there are too few complete keepers because too many disks were lost at once,
+/// the other keepers have all that is left, and the function returns when each of them has been read.
 pub async fn rebuild_from_others(service: &KeeperService, links: &LinkEndpoint, own_name: &str) {
-    let mut read: Vec<ReadSource> = Vec::new();
+    let mut sources_read: Vec<SourceProgress> = Vec::new();
     while !service.is_complete() {
         let placement = service.placement();
         if let Some(own) = placement.slot_of(own_name) {
-            read.retain(|source| placement.slot_of(&source.name).is_some());
-            let sources = unread(&placement, own, &read);
+            sources_read.retain(|source| placement.slot_of(&source.name).is_some());
+            let sources = remaining_sources(&placement, own, &sources_read);
             for source in read_sources(service, links, own, sources).await {
                 Logbook::global().record("rebuild", &source);
                 if source.failure.is_empty() {
-                    read.retain(|known| known.name != source.name);
-                    read.push(source);
+                    sources_read.retain(|known| known.name != source.name);
+                    sources_read.push(source);
                 }
             }
-            if is_enough(&read, &placement) {
+            if is_sufficient(&sources_read, &placement) {
                 service.set_complete(true).await;
                 return;
             }
         }
-        tokio::time::sleep(ROUND_PAUSE).await;
+        tokio::time::sleep(ROUND_DELAY).await;
     }
 }
 
-/// Returns the keepers of which not everything has been read.
-fn unread(placement: &KeeperPlacement, own: usize, read: &[ReadSource]) -> Vec<KeeperSlot> {
-    let whole = |slot: &KeeperSlot| {
-        let mut known = read.iter();
+/// Returns the other keepers, without the complete ones that have been read already.
+fn remaining_sources(
+    placement: &KeeperPlacement,
+    own: usize,
+    sources_read: &[SourceProgress],
+) -> Vec<KeeperSlot> {
+    let is_read = |slot: &KeeperSlot| {
+        let mut known = sources_read.iter();
         known.any(|source| source.name == slot.name && source.complete)
     };
     let slots = placement.slots.iter().enumerate();
-    let others = slots.filter(|&(index, slot)| index != own && !whole(slot));
+    let others = slots.filter(|&(index, slot)| index != own && !is_read(slot));
     others.map(|(_, slot)| slot.clone()).collect()
 }
 
-fn is_enough(read: &[ReadSource], placement: &KeeperPlacement) -> bool {
-    let complete = read.iter().filter(|source| source.complete).count();
-    complete >= placement.rebuild_sources() || read.len() + 1 >= placement.slots.len()
+fn is_sufficient(sources_read: &[SourceProgress], placement: &KeeperPlacement) -> bool {
+    let complete = sources_read.iter().filter(|source| source.complete).count();
+    complete >= placement.rebuild_sources() || sources_read.len() + 1 >= placement.slots.len()
 }
 
-/// Reads part by part, each from one source after the other, so that a fact comes over the network once.
+/// Reads part by part, each from one source after the other, so that a fact is transferred only once.
 async fn read_sources(
     service: &KeeperService,
     links: &LinkEndpoint,
     own: usize,
     sources: Vec<KeeperSlot>,
-) -> Vec<ReadSource> {
-    let mut results: Vec<ReadSource> = sources.iter().map(unread_source).collect();
+) -> Vec<SourceProgress> {
+    let mut results: Vec<SourceProgress> = sources.iter().map(new_progress).collect();
     let mut reading = JoinSet::new();
     let mut parts = 0..EXPORT_PARTS;
     loop {
-        while reading.len() < PARTS_AT_ONCE {
+        while reading.len() < CONCURRENT_PARTS {
             let Some(part) = parts.next() else {
                 break;
             };
@@ -112,8 +115,8 @@
     }
 }
 
-fn unread_source(slot: &KeeperSlot) -> ReadSource {
-    ReadSource {
+fn new_progress(slot: &KeeperSlot) -> SourceProgress {
+    SourceProgress {
         name: slot.name.clone(),
         facts: 0,
         complete: true,
@@ -121,13 +124,13 @@
     }
 }
 
-/// What one part brought.
+/// Result of reading one part of a source.
 struct ReadPart {
     facts: usize,
     complete: bool,
 }
 
-/// Reads one part of all sources; returns for each what came, or why it is not whole here.
+/// Reads one part of all sources; returns for each source the result, or why the part is not completely durable here.
 async fn read_part(
     service: &KeeperService,
     links: &LinkEndpoint,
@@ -141,7 +144,7 @@
             placement: service.placement(),
             part,
             slot: Some(own),
-            known: service.known_turns(part),
+            known: service.known_digests(part),
         };
         outcomes.push(read_export(service, links, source, request).await);
     }
@@ -160,11 +163,11 @@
     let KeeperAnswer { reply, .. } = answer.map_err(|error| error.to_string())?;
     match reply {
         KeeperReply::Part { facts, complete } => {
-            let taken = service.take_part(facts).await;
-            let facts = taken.ok_or_else(|| "not durable here".to_owned())?;
+            let accepted = service.import_part(facts).await;
+            let facts = accepted.ok_or_else(|| "the facts are not durable here".to_owned())?;
             Ok(ReadPart { facts, complete })
         }
-        KeeperReply::NewerPlacement(_) => Err("it knows a newer placement".to_owned()),
-        _ => Err("it can't read its own facts now".to_owned()),
+        KeeperReply::NewerPlacement(_) => Err("the keeper knows a newer placement".to_owned()),
+        _ => Err("the keeper can't read its own facts now".to_owned()),
     }
 }
--- a/crates/samphiregrade-gateway/src/fact/service.rs
+++ b/crates/samphiregrade-gateway/src/fact/service.rs
@@ -1,4 +1,4 @@
-//! What a keeper answers.
+//! Server side of a keeper: handles requests, and keeps facts in the index and on disk.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
@@ -21,7 +21,7 @@
 use crate::store::{ProofCache, StoreMirror};
 use crate::upstream::{OutcomeTable, RunTable, UpstreamSuspect};
 
-/// Bytes that segments may hold beyond twice the live ones before they are compacted.
+/// Number of bytes by which the segments may exceed twice the live data before they are compacted.
 const COMPACTION_SLACK: u64 = 24 << 20;
 
 #[derive(Serialize)]
@@ -33,7 +33,7 @@
     resident_bytes: u64,
 }
 
-/// Returns the memory that the process holds, as the system tells it; 0 where it doesn't.
+/// Returns the process's resident memory as reported by the system; 0 if the system doesn't report it.
 fn resident_bytes() -> u64 {
     const PAGE_BYTES: u64 = 4096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
@@ -44,27 +44,28 @@
     pages.unwrap_or(0) * PAGE_BYTES
 }
 
-/// Bytes that are written to disk at a time while facts are read or written again in bulk.
-const GROUP_BYTES: usize = 256 << 10;
+/// Size in bytes at which a batch is written to disk while facts are imported in bulk.
+const BATCH_BYTES: usize = 256 << 10;
 
 struct KeeperState {
-    book: FactIndex,
+    index: FactIndex,
     disk_state: DiskState,
     written_bytes: u64,
-    /// Whether the disk has refused facts that are in memory: all are written again when it takes them.
+    /// Whether facts in memory could not be written to disk; the next compaction writes all facts again.
     unwritten: bool,
-    /// What entries tell of upstreams; memory only, since it is over within seconds.
+    /// Outcomes of requests at upstreams that entries report; in memory only, because they lose relevance within
+    /// seconds.
     outcomes: OutcomeTable,
-    /// What runs at the upstreams for which the keeper accounts; memory only too.
+    /// Requests that run at the upstreams whose accounts the keeper holds; in memory only, too.
     runs: RunTable,
     /// Entries that follow this keeper.
     followers: FollowerTable,
-    /// Organisations to which the keeper is home.
+    /// Limits of the organisations whose home is this keeper.
     limits: LimitLedger,
     limit_clock: LimitClock,
 }
 
-/// The clock of a home, which goes on where it stood when it starts again.
+/// Clock of a home; a restarted home continues from the last recorded time.
 struct LimitClock {
     start: LedgerTime,
     since: Instant,
@@ -89,7 +90,7 @@
     live_bytes: usize,
 }
 
-/// A keeper; cloning it is cheap.
+/// A keeper's service; cheap to clone.
 #[derive(Clone)]
 pub struct KeeperService {
     state: Arc<Mutex<KeeperState>>,
@@ -99,7 +100,7 @@
 }
 
 impl KeeperService {
-    /// Starts with what the disk held.
+    /// Creates the service from the data read from disk.
     #[must_use]
     pub fn new(
         disk: FactDisk,
@@ -115,7 +116,7 @@
         };
         let disk_state = recovered.state.unwrap_or(fresh);
         let state = KeeperState {
-            book: recovered.book,
+            index: recovered.index,
             disk_state,
             written_bytes: recovered.bytes,
             unwritten: false,
@@ -136,13 +137,13 @@
         }
     }
 
-    /// Returns what the keeper knows of the key-value service, for those who follow it here.
+    /// Returns the mirror of the key-value service that the keeper's followers read.
     #[must_use]
     pub fn mirror(&self) -> &Arc<StoreMirror> {
         &self.mirror
     }
 
-    /// Returns what the keeper has proved of the configuration.
+    /// Returns the proofs of the configuration's freshness.
     #[must_use]
     pub fn proofs(&self) -> &Arc<ProofCache> {
         &self.proofs
@@ -153,7 +154,7 @@
         action(&mut state)
     }
 
-    /// Answers a request.
+    /// Handles a request.
     pub async fn answer(&self, envelope: KeeperEnvelope) -> KeeperAnswer {
         let reply = self.reply_to(envelope).await;
         KeeperAnswer {
@@ -167,8 +168,8 @@
         self.with(|state| {
             state.outcomes.take(&envelope.outcomes, now);
             if envelope.sender != 0 {
-                let heard = state.limit_clock.now();
-                state.limits.record_contact(envelope.sender, heard);
+                let contacted_at = state.limit_clock.now();
+                state.limits.record_contact(envelope.sender, contacted_at);
             }
         });
         if let KeeperRequest::Export(request) = &envelope.request {
@@ -193,8 +194,8 @@
                 None => KeeperReply::NotStored,
             },
             KeeperRequest::Note(fact) => {
-                self.with(|state| state.take(&fact, now));
-                self.disk.note(fact);
+                self.with(|state| state.insert(&fact, now));
+                self.disk.append_later(fact);
                 KeeperReply::Stored
             }
             KeeperRequest::Chain(turn) => KeeperReply::Chain(self.chain(&turn, now).await),
@@ -230,7 +231,7 @@
             KeeperRequest::Follow { request, follower } => {
                 let helper = self.with(|state| {
                     let helper = state.followers.next(Some(&follower.name), now);
-                    state.followers.note(follower, now);
+                    state.followers.record(follower, now);
                     helper
                 });
                 KeeperReply::Stream {
@@ -248,14 +249,15 @@
         })
     }
 
-    /// Returns the placement that is held where the sender's is older.
+    /// Returns the keeper's placement if the sender's is older.
     ///
-    /// What the instance that takes over a slot reads must be all that was confirmed under the placement before: it hands
-    /// its own over with its first question, and from then on nothing is taken under an older one. No other request
-    /// does that. Where entries that had heard of a newer placement first did, a keeper refused all others for
-    /// 0.3 s, until it could tell the newer one itself, and turns that had run were broken off as not durable. What
-    /// such an entry stores may be known to one keeper of the older placement only: who asks under that one takes a turn
-    /// for absent only when all of its keepers have been heard.
+    /// An instance that takes over a slot must read all facts that were acknowledged under the previous placement: its
+    /// export requests carry the new placement, and from the first one on the keeper accepts nothing under an older
+    /// placement. No other request carries a placement. When requests of entries that knew a newer placement early did
+    /// so, a keeper rejected all other entries' requests for 0.3 s, until it could return the newer placement itself,
+    /// and completed turns were aborted as not durable. A fact stored by such an early entry may be known to only one
+    /// keeper of the older placement; therefore a reader under the older placement treats a turn as absent only after
+    /// all of its keepers have replied or failed.
     fn newer_placement(&self, generation: PlacementGeneration) -> Option<KeeperPlacement> {
         self.with(|state| {
             let held = &state.disk_state.placement;
@@ -263,9 +265,9 @@
         })
     }
 
-    /// Returns what is known of a chain, read from disk where it stands there.
+    /// Returns the known part of a chain; content that is no longer in memory is read from disk.
     async fn chain(&self, turn: &TurnId, now: Instant) -> ChainAnswer {
-        let known = self.with(|state| match state.book.chain(turn, now) {
+        let known = self.with(|state| match state.index.chain(turn, now) {
             Some(chain) => Ok(chain),
             None if state.disk_state.complete => Err(ChainAnswer::Absent),
             None => Err(ChainAnswer::Unknown),
@@ -274,7 +276,7 @@
             Ok(chain) => chain,
             Err(answer) => return answer,
         };
-        let Some(joined) = self.join(chain.turns).await else {
+        let Some(joined) = self.join_content(chain.turns).await else {
             return ChainAnswer::Unknown;
         };
         match chain.missing {
@@ -286,8 +288,8 @@
         }
     }
 
-    /// Joins turns' inputs and outputs; `None` where one can't be read.
-    async fn join(&self, turns: Vec<TurnContent>) -> Option<Bytes> {
+    /// Concatenates turns' inputs and outputs; `None` if one of them can't be read.
+    async fn join_content(&self, turns: Vec<TurnContent>) -> Option<Bytes> {
         let on_disk = turns.iter().filter_map(|content| match content {
             TurnContent::Disk(location) => Some(*location),
             TurnContent::Memory { .. } => None,
@@ -308,63 +310,63 @@
         Some(joined.freeze())
     }
 
-    /// Returns one part of all facts, read from disk where they stand there; `None` where one can't be read.
+    /// Returns the facts of one part, those on disk included; `None` if one of them can't be read.
     async fn export(&self, request: &ExportRequest) -> Option<Vec<FactRecord>> {
         let FactPart { mut facts, on_disk } = self.with(|state| {
             let placement = &state.disk_state.placement;
-            state.book.export(request, placement)
+            state.index.export(request, placement)
         });
         let turns = self.disk.read(on_disk).await?;
         facts.extend(turns.into_iter().map(FactRecord::Turn));
         Some(facts)
     }
 
-    /// Takes a fact and resolves, once it is durable, to what is known of its program.
+    /// Stores a fact; resolves, once it is durable, to the program's known reservations.
     async fn store(&self, fact: FactRecord, now: Instant) -> Option<ProgramLedger> {
         let ledger = self.with(|state| {
-            state.take(&fact, now);
-            state.book.ledger(program_of(&fact))
+            state.insert(&fact, now);
+            state.index.ledger(program_of_fact(&fact))
         });
         self.append(vec![fact]).await.then_some(ledger)
     }
 
-    /// Returns the marks of the turns of one part that the keeper has.
+    /// Returns the digests of the turns of one part that the keeper has.
     #[must_use]
-    pub fn known_turns(&self, part: u8) -> Vec<u64> {
+    pub fn known_digests(&self, part: u8) -> Vec<u64> {
         self.with(|state| {
-            // What the disk has refused is asked for again.
+            // Facts that the disk has not accepted are requested again.
             if state.unwritten {
                 return Vec::new();
             }
-            state.book.known_turns(part)
+            state.index.known_digests(part)
         })
     }
 
-    /// Takes facts of another keeper while rebuilding; resolves to how many came, `None` where not all of them
-    /// are durable.
+    /// Imports facts of another keeper while rebuilding; resolves to their number, or to `None` if not all of them are
+    /// durable.
     ///
-    /// Facts that are known already are on their way to the disk, in front of the last one here.
-    pub async fn take_part(&self, facts: Vec<FactRecord>) -> Option<usize> {
+    /// Facts that are known already are skipped: their writes were queued before those of this call.
+    pub async fn import_part(&self, facts: Vec<FactRecord>) -> Option<usize> {
         let now = Instant::now();
-        let mut group = Vec::new();
-        let (mut count, mut bytes) = (0, 0);
+        let mut batch = Vec::new();
+        let (mut count, mut batch_bytes) = (0, 0);
         for fact in facts {
             count += 1;
-            if !self.with(|state| state.take(&fact, now) || state.unwritten) {
+            if !self.with(|state| state.insert(&fact, now) || state.unwritten) {
                 continue;
             }
-            bytes += fact.bytes();
-            group.push(fact);
-            if bytes >= GROUP_BYTES && !self.append(std::mem::take(&mut group)).await {
+            batch_bytes += fact.estimated_bytes();
+            batch.push(fact);
+            if batch_bytes >= BATCH_BYTES && !self.append(std::mem::take(&mut batch)).await {
                 return None;
             }
-            bytes %= GROUP_BYTES;
+            batch_bytes %= BATCH_BYTES;
         }
-        let durable = group.is_empty() || self.append(group).await;
+        let durable = batch.is_empty() || self.append(batch).await;
         durable.then_some(count)
     }
 
-    /// Appends facts to the disk, where their content then stands; resolves to whether they are durable.
+    /// Appends facts to the disk and releases their content in memory; resolves to whether they are durable.
     async fn append(&self, facts: Vec<FactRecord>) -> bool {
         let indexed: Vec<FactRecord> = facts.iter().map(FactRecord::without_content).collect();
         let Some(locations) = self.disk.append(facts).await else {
@@ -373,13 +375,13 @@
         };
         self.with(|state| {
             for (fact, location) in indexed.iter().zip(locations) {
-                state.book.place_on_disk(fact, location);
+                state.index.set_disk_location(fact, location);
             }
         });
         true
     }
 
-    /// Returns whether the keeper has everything that it ever stored.
+    /// Returns whether the keeper has every fact that it has ever acknowledged.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.with(|state| state.disk_state.complete)
@@ -391,13 +393,13 @@
         self.with(|state| state.disk_state.placement.clone())
     }
 
-    /// Returns the state that lasts beside facts.
+    /// Returns the persistent state besides facts.
     #[must_use]
     pub fn disk_state(&self) -> DiskState {
         self.with(|state| state.disk_state.clone())
     }
 
-    /// Takes a newer placement.
+    /// Adopts a placement if it is newer than the known one.
     pub async fn adopt_placement(&self, placement: KeeperPlacement) {
         let newer = self.with(|state| {
             if placement.generation <= state.disk_state.placement.generation {
@@ -414,34 +416,35 @@
             slots: placement.slots.iter().map(|slot| &slot.name).collect(),
         };
         Logbook::global().record("placement", &line);
-        self.remember().await;
+        self.persist_state().await;
     }
 
-    /// Notes whether the keeper has everything that it ever stored; durable when it resolves to true.
+    /// Records whether the keeper has every fact that it has ever acknowledged; resolves to whether the record is
+    /// durable.
     pub async fn set_complete(&self, complete: bool) -> bool {
         let line = self.with(|state| {
             state.disk_state.complete = complete;
             CompletenessLine {
                 complete,
-                turns: state.book.turn_count(),
-                live_bytes: state.book.live_bytes(),
+                turns: state.index.turn_count(),
+                live_bytes: state.index.live_bytes(),
             }
         });
         Logbook::global().record("keeper-complete", &line);
-        self.remember().await
+        self.persist_state().await
     }
 
-    /// Notes the deployment's authority.
+    /// Records the deployment's certificate authority; resolves to whether the record is durable.
     pub async fn set_authority(&self, authority: &str, key: &str) -> bool {
         self.with(|state| {
             state.disk_state.authority = authority.into();
             state.disk_state.authority_key = key.into();
         });
-        self.remember().await
+        self.persist_state().await
     }
 
-    /// Writes down what organisations have used of their limits since it was called last: a home that starts again goes
-    /// on with it. Nobody waits for it; a home that ends in between forgets a tenth of a second.
+    /// Saves the uses of organisations' limits since the last call, from which a restarted home continues. The write is
+    /// not awaited: a home that ends before the write loses the uses of a tenth of a second.
     pub fn save_limits(&self) {
         let (at, uses) = self.with(|state| {
             let now = state.limit_clock.now();
@@ -451,76 +454,76 @@
             return;
         }
         let fact = FactRecord::LimitUses { at, uses };
-        self.with(|state| state.written_bytes += fact.bytes() as u64);
-        self.disk.note(fact);
+        self.with(|state| state.written_bytes += fact.estimated_bytes() as u64);
+        self.disk.append_later(fact);
     }
 
-    /// Resolves once everything that was taken up to now stands on disk, as far as the disk takes it: notes are
-    /// confirmed before they are written, and would end with the process.
+    /// Resolves once all facts accepted so far have been written, as far as the disk accepts them. Background facts are
+    /// acknowledged before they are written and would be lost when the process ends.
     pub async fn flush(&self) -> bool {
-        // The disk writes in order, so that the state comes after all that waits.
-        self.remember().await
+        // The disk thread writes in order, so the state is written after all queued facts.
+        self.persist_state().await
     }
 
-    async fn remember(&self) -> bool {
-        self.disk.remember(self.disk_state()).await
+    async fn persist_state(&self) -> bool {
+        self.disk.write_state(self.disk_state()).await
     }
 
-    /// Drops what nobody has used for its time, and compacts the disk where that pays.
+    /// Removes expired facts and limits, and compacts the disk if it holds too much dead data.
     pub async fn expire(&self) {
-        let compacts = self.with(|state| {
-            state.book.expire(Instant::now());
+        let should_compact = self.with(|state| {
+            state.index.expire(Instant::now());
             let limits_now = state.limit_clock.now();
             state.limits.sweep(limits_now);
-            let live_bytes = state.book.live_bytes() as u64;
-            let over = state.written_bytes > 2 * live_bytes + COMPACTION_SLACK;
-            let compacts = over || state.unwritten;
-            if compacts {
+            let live_bytes = state.index.live_bytes() as u64;
+            let exceeds = state.written_bytes > 2 * live_bytes + COMPACTION_SLACK;
+            let should_compact = exceeds || state.unwritten;
+            if should_compact {
                 state.written_bytes = live_bytes;
             }
-            compacts
+            should_compact
         });
         let line = self.with(|state| SizeLine {
-            turns: state.book.turn_count(),
-            programs: state.book.program_count(),
-            live_bytes: state.book.live_bytes(),
+            turns: state.index.turn_count(),
+            programs: state.index.program_count(),
+            live_bytes: state.index.live_bytes(),
             written_bytes: state.written_bytes,
             resident_bytes: resident_bytes(),
         });
         Logbook::global().record("keeper-size", &line);
-        if !compacts {
+        if !should_compact {
             return;
         }
-        // Part by part, so that memory never holds a second copy of everything.
-        let mut whole = self.disk.begin_segment().await;
+        // Part by part, so that memory never holds a second copy of all facts.
+        let mut complete = self.disk.begin_segment().await;
         let (at, uses) = self.with(|state| (state.limit_clock.now(), state.limits.all_uses()));
-        self.disk.note(FactRecord::LimitUses { at, uses });
+        self.disk.append_later(FactRecord::LimitUses { at, uses });
         for part in 0..super::book::EXPORT_PARTS {
             let all = ExportRequest {
                 part,
                 ..ExportRequest::default()
             };
-            whole &= match self.export(&all).await {
+            complete &= match self.export(&all).await {
                 Some(facts) if facts.is_empty() => true,
                 Some(facts) => self.append(facts).await,
                 None => false,
             };
         }
-        if whole {
+        if complete {
             self.with(|state| state.unwritten = false);
-            self.disk.drop_older();
+            self.disk.remove_older();
         }
     }
 }
 
 impl KeeperState {
-    fn take(&mut self, fact: &FactRecord, now: Instant) -> bool {
-        self.written_bytes += fact.bytes() as u64;
-        self.book.take(fact, now)
+    fn insert(&mut self, fact: &FactRecord, now: Instant) -> bool {
+        self.written_bytes += fact.estimated_bytes() as u64;
+        self.index.insert(fact, now)
     }
 }
 
-fn program_of(fact: &FactRecord) -> &str {
+fn program_of_fact(fact: &FactRecord) -> &str {
     match fact {
         FactRecord::Reservation { program, .. } => program,
         FactRecord::Turn(turn) => &turn.program,
--- a/crates/samphiregrade-gateway/src/store/client.rs
+++ b/crates/samphiregrade-gateway/src/store/client.rs
@@ -1,4 +1,4 @@
-//! Calls of the platform's key-value service over kept connections.
+//! HTTP client of the key-value service with a persistent connection.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,55 +12,56 @@
 use crate::dialect::{Dialect, ReadConsistency, StoreCall, StorePage, StoreWrite};
 use crate::observe::GatewayMetrics;
 
-/// Longest wait for a connection.
+/// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Longest wait for an answer that the service does not hold back: it may be slow by a factor of dozens.
+/// Timeout of a call, in addition to the time for which the service may hold a watch; allows for a service that is
+/// slower than usual by a factor of dozens.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Longest head of an answer.
+/// Maximum size of a response head in bytes.
 const HEAD_LIMIT: usize = 16 << 10;
 
-/// Longest accepted answer; a page is about a megabyte.
+/// Maximum size of a response body in bytes; a page is about a megabyte.
 const BODY_LIMIT: usize = 8 << 20;
 
-/// Why a call brought nothing.
+/// Why a call of the key-value service failed.
 #[derive(Clone, Debug, Error)]
 pub enum StoreFailure {
-    /// No answer; the call may have been carried out, or may be later.
-    #[error("the key-value service gives no answer: {0}; it is asked again")]
+    /// No response; the call may have taken effect, or may still do so.
+    #[error("the key-value service does not respond: {0}; the call is retried")]
     NoAnswer(String),
-    /// The service refuses for now; nothing was done.
-    #[error("the key-value service refuses with status {0}; it is asked again later")]
+    /// The service rejected the call; it had no effect.
+    #[error("the key-value service rejected the call with status {0}; it is retried later")]
     Refused(u16),
-    /// The history before a revision is gone.
-    #[error("the key-value service has dropped the history; everything is read again")]
+    /// The service no longer has the history after the requested revision.
+    #[error("the key-value service has compacted its history; all keys are read again")]
     Compacted,
-    /// A condition did not hold.
+    /// The write's condition was not met.
     #[error("the key has been changed meanwhile; it is read again")]
     Changed,
-    /// The answer can't be decoded.
-    #[error("{0}; everything is read again")]
+    /// The response can't be decoded.
+    #[error("{0}; all keys are read again")]
     Unreadable(String),
 }
 
-/// A whole answer.
-struct StoreAnswer {
+/// A complete response.
+struct StoreResponse {
     status: u16,
     body: Bytes,
 }
 
-/// A client with one kept connection; each watch has a client of its own.
+/// Client with one persistent connection, shared by its clones; each watch uses a client with a connection of its own.
 #[derive(Clone)]
 pub struct StoreClient {
     address: SocketAddr,
     dialect: Arc<dyn Dialect>,
     metrics: Arc<GatewayMetrics>,
-    kept: Arc<Mutex<Option<WireSocket>>>,
+    idle_socket: Arc<Mutex<Option<WireSocket>>>,
 }
 
 impl StoreClient {
-    /// Makes a client.
+    /// Creates a client.
     #[must_use]
     pub fn new(
         address: SocketAddr,
@@ -71,7 +72,7 @@
             address,
             dialect,
             metrics,
-            kept: Arc::default(),
+            idle_socket: Arc::default(),
         }
     }
 
@@ -81,21 +82,21 @@
         Self::new(self.address, self.dialect.clone(), self.metrics.clone())
     }
 
-    /// Reads all keys under a prefix, page by page; the revision is the oldest page's.
+    /// Reads all keys under a prefix, page by page; the returned revision is that of the first page, the oldest one.
     ///
     /// # Errors
     ///
-    /// [`StoreFailure`] where a page is missing.
+    /// [`StoreFailure`] if a page can't be read.
     pub async fn read_all(&self, prefix: &str) -> Result<StorePage, StoreFailure> {
         self.read_pages(prefix, ReadConsistency::Latest, CALL_TIMEOUT)
             .await
     }
 
-    /// Reads all keys under a prefix, each page within a time.
+    /// Reads all keys under a prefix with a timeout for each page.
     ///
     /// # Errors
     ///
-    /// [`StoreFailure`] where a page is missing.
+    /// [`StoreFailure`] if a page can't be read.
     pub async fn read_within(
         &self,
         prefix: &str,
@@ -105,11 +106,12 @@
             .await
     }
 
-    /// Reads all keys under a prefix as they were some seconds ago at worst, which costs the service a tenth.
+    /// Reads all keys under a prefix; the data may be some seconds old, which costs the service a tenth of a current
+    /// read.
     ///
     /// # Errors
     ///
-    /// [`StoreFailure`] where a page is missing.
+    /// [`StoreFailure`] if a page can't be read.
     pub async fn read_stale(&self, prefix: &str) -> Result<StorePage, StoreFailure> {
         self.read_pages(prefix, ReadConsistency::MayBeStale, CALL_TIMEOUT)
             .await
@@ -118,37 +120,39 @@
     async fn read_pages(
         &self,
         prefix: &str,
-        age: ReadConsistency,
+        consistency: ReadConsistency,
         timeout: Duration,
     ) -> Result<StorePage, StoreFailure> {
-        let mut whole = StorePage::default();
+        let mut combined = StorePage::default();
         loop {
-            let after = whole.items.last().map(|item| item.key.clone());
+            let after = combined.items.last().map(|item| item.key.clone());
             let first = after.is_none();
-            let call = self.dialect.read_call(prefix, after.as_deref(), age);
-            let answer = self.call(&call, timeout).await?;
-            let page = self.page(&answer)?;
+            let call = self
+                .dialect
+                .read_call(prefix, after.as_deref(), consistency);
+            let response = self.call(&call, timeout).await?;
+            let page = self.page(&response)?;
             if first {
-                whole.revision = page.revision;
+                combined.revision = page.revision;
             }
-            whole.nameless += page.nameless;
+            combined.nameless += page.nameless;
             let more = page.has_more;
             if more && page.items.is_empty() {
-                let reason = format!("a page of {} items names no key", page.nameless);
+                let reason = format!("none of a page's {} items has a key", page.nameless);
                 return Err(StoreFailure::Unreadable(reason));
             }
-            whole.items.extend(page.items);
+            combined.items.extend(page.items);
             if !more {
-                return Ok(whole);
+                return Ok(combined);
             }
         }
     }
 
-    /// Waits for changes under a prefix.
+    /// Waits up to `wait` for changes under a prefix after a revision.
     ///
     /// # Errors
     ///
-    /// [`StoreFailure::Compacted`] where everything has to be read again.
+    /// [`StoreFailure`]; [`StoreFailure::Compacted`] if all keys have to be read again.
     pub async fn watch(
         &self,
         prefix: &str,
@@ -156,50 +160,54 @@
         wait: Duration,
     ) -> Result<StorePage, StoreFailure> {
         let call = self.dialect.watch_call(prefix, after, wait);
-        let answer = self.call(&call, wait + CALL_TIMEOUT).await?;
-        self.page(&answer)
+        let response = self.call(&call, wait + CALL_TIMEOUT).await?;
+        self.page(&response)
     }
 
-    /// Writes a key under a condition.
+    /// Writes a key if the write's condition is met.
     ///
     /// # Errors
     ///
-    /// [`StoreFailure::Changed`] where the condition does not hold; after
-    /// [`StoreFailure::NoAnswer`] the change may still take effect.
-    pub async fn write(&self, change: &StoreWrite) -> Result<(), StoreFailure> {
-        let call = self.dialect.write_call(change);
-        let answer = self.call(&call, CALL_TIMEOUT).await?;
-        match answer.status {
+    /// [`StoreFailure::Changed`] if the condition is not met; after [`StoreFailure::NoAnswer`] the write may still take
+    /// effect.
+    pub async fn write(&self, write: &StoreWrite) -> Result<(), StoreFailure> {
+        let call = self.dialect.write_call(write);
+        let response = self.call(&call, CALL_TIMEOUT).await?;
+        match response.status {
             200 => Ok(()),
             412 => Err(StoreFailure::Changed),
             other => Err(StoreFailure::Refused(other)),
         }
     }
 
-    fn page(&self, answer: &StoreAnswer) -> Result<StorePage, StoreFailure> {
-        match answer.status {
+    fn page(&self, response: &StoreResponse) -> Result<StorePage, StoreFailure> {
+        match response.status {
             200 => self
                 .dialect
-                .page(&answer.body)
+                .page(&response.body)
                 .map_err(|error| StoreFailure::Unreadable(error.to_string())),
             410 => Err(StoreFailure::Compacted),
             other => Err(StoreFailure::Refused(other)),
         }
     }
 
-    async fn call(&self, call: &StoreCall, timeout: Duration) -> Result<StoreAnswer, StoreFailure> {
-        let mut kept = self.kept.lock().await;
-        let asking = tokio::time::timeout(timeout, self.exchange(call, kept.take()));
-        let result = match asking.await {
-            Ok(Ok((answer, socket))) => {
-                *kept = socket;
-                Ok(answer)
+    async fn call(
+        &self,
+        call: &StoreCall,
+        timeout: Duration,
+    ) -> Result<StoreResponse, StoreFailure> {
+        let mut idle_socket = self.idle_socket.lock().await;
+        let exchanging = tokio::time::timeout(timeout, self.exchange(call, idle_socket.take()));
+        let result = match exchanging.await {
+            Ok(Ok((response, socket))) => {
+                *idle_socket = socket;
+                Ok(response)
             }
             Ok(Err(error)) => Err(StoreFailure::NoAnswer(error)),
             Err(_) => Err(StoreFailure::NoAnswer("timeout".to_owned())),
         };
         self.metrics.count_store_call(match &result {
-            Ok(answer) if answer.status < 400 => "answered",
+            Ok(response) if response.status < 400 => "answered",
             Ok(_) => "refused",
             Err(_) => "no-answer",
         });
@@ -209,35 +217,35 @@
     async fn exchange(
         &self,
         call: &StoreCall,
-        kept: Option<WireSocket>,
-    ) -> Result<(StoreAnswer, Option<WireSocket>), String> {
-        let text = |error: std::io::Error| error.to_string();
-        let quiet = kept.and_then(|mut socket| socket.is_quiet().then_some(socket));
-        let mut socket = if let Some(socket) = quiet {
+        idle_socket: Option<WireSocket>,
+    ) -> Result<(StoreResponse, Option<WireSocket>), String> {
+        let describe = |error: std::io::Error| error.to_string();
+        let idle = idle_socket.and_then(|mut socket| socket.is_quiet().then_some(socket));
+        let mut socket = if let Some(socket) = idle {
             socket
         } else {
             let limits = SocketLimits::for_held_answers();
             let connecting = WireSocket::connect(self.address, CONNECT_TIMEOUT, &limits);
-            connecting.await.map_err(text)?
+            connecting.await.map_err(describe)?
         };
-        socket.write(&self.encode(call)).await.map_err(text)?;
+        socket.write(&self.encode(call)).await.map_err(describe)?;
         let head = loop {
-            let taken = ResponseHead::take(&mut socket.buffer, HEAD_LIMIT);
-            if let Some(head) = taken.map_err(|error| error.to_string())? {
+            let parsed = ResponseHead::take(&mut socket.buffer, HEAD_LIMIT);
+            if let Some(head) = parsed.map_err(|error| error.to_string())? {
                 break head;
             }
-            if socket.fill().await.map_err(text)? == 0 {
-                return Err("the connection ended before an answer".to_owned());
+            if socket.fill().await.map_err(describe)? == 0 {
+                return Err("the connection was closed before the response".to_owned());
             }
         };
         let framing = head.framing().map_err(|error| error.to_string())?;
         let body = read_body(&mut socket, BodyDecoder::new(framing)).await?;
-        let answer = StoreAnswer {
+        let response = StoreResponse {
             status: head.status,
             body,
         };
-        let keeps = head.keeps_connection() && socket.buffer.is_empty();
-        Ok((answer, keeps.then_some(socket)))
+        let reusable = head.keeps_connection() && socket.buffer.is_empty();
+        Ok((response, reusable.then_some(socket)))
     }
 
     fn encode(&self, call: &StoreCall) -> BytesMut {
@@ -271,7 +279,7 @@
             BodyPiece::Data(data) if body.len() + data.len() <= BODY_LIMIT => {
                 body.extend_from_slice(&data);
             }
-            BodyPiece::Data(_) => return Err("the answer is too long".to_owned()),
+            BodyPiece::Data(_) => return Err("the response is too large".to_owned()),
             BodyPiece::More => {
                 if socket.fill().await.map_err(|error| error.to_string())? == 0 {
                     decoder.close().map_err(|error| error.to_string())?;
--- a/crates/samphiregrade-gateway/src/store/follow.rs
+++ b/crates/samphiregrade-gateway/src/store/follow.rs
@@ -1,4 +1,4 @@
-//! Following a prefix of the key-value service through its outages.
+//! Follows a prefix of the key-value service, including through outages of the service.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,31 +12,33 @@
 use crate::dialect::{StorePage, StoreRevision};
 use crate::observe::Logbook;
 
-/// How long the service holds a watch without changes: its own longest wait is 30 s.
+/// Time for which the service holds a watch without changes; the service's own maximum is 30 s.
 const WATCH_WAIT: Duration = Duration::from_secs(25);
 
-/// How long the service holds a watch right after changes. One that was sent into an outage may never be answered,
-/// though its connection stays; it is noticed within this and the client's own limit. Only a watch that was answered
-/// in time is followed by a long one.
+/// Time for which the service holds a watch right after changes. A watch that was sent during an outage may never be
+/// answered although its connection stays open; this is noticed within this time plus the client's call timeout. A long
+/// watch is used only after a watch that was answered in time.
 const SHORT_WATCH_WAIT: Duration = Duration::from_secs(1);
 
-/// First pause after a failure: a cut watch is renewed at once, a refusing service isn't pressed.
-const FIRST_PAUSE: Duration = Duration::from_millis(60);
+/// Delay before the first retry: an interrupted watch is renewed quickly, but a service that rejects calls isn't
+/// overloaded.
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// Longest pause between two tries, so that a change is in force well within its bound after an outage.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1200);
+/// Maximum delay between two retries, so that after an outage a change takes effect well within its time limit.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(1200);
 
-/// How a follower asks.
+/// Timing of a follower's watches.
 #[derive(Clone, Copy, Debug)]
 pub struct FollowTiming {
-    /// How long it waits after changes before it asks again, so that changes that come together cost one call.
+    /// Delay between changes and the next watch, so that changes in quick succession cost one call.
     pub batch_delay: Duration,
-    /// Longest time for which a watch is held: how often its end proves that nothing has changed.
+    /// Maximum time for which a watch is held, and so the maximum interval between proofs that nothing has changed.
     pub longest_watch: Duration,
 }
 
 impl FollowTiming {
-    /// Makes the pace of one whose watches are held as long as the service holds them, unless a proof is needed sooner.
+    /// Creates the timing of a follower whose watches last as long as the service allows, unless proofs are needed more
+    /// often.
     #[must_use]
     pub fn new(batch_delay: Duration, proof_interval: Option<Duration>) -> Self {
         Self {
@@ -45,14 +47,14 @@
         }
     }
 
-    /// Returns the time in which a source has to tell what others tell: it may have begun to gather changes just before,
-    /// and half as much again is for the way.
+    /// Returns the time within which a source has to deliver what others have reported: its batch delay may have begun
+    /// just before, and half as much again is allowed for the transfer.
     #[must_use]
     pub fn source_timeout(&self) -> Duration {
         self.batch_delay.mul_f64(1.5)
     }
 
-    /// Returns how long the service holds the next watch, after one that brought changes or none.
+    /// Returns the time for which the service holds the next watch; depends on whether the last one returned changes.
     #[must_use]
     pub fn watch_wait(&self, changed: bool) -> Duration {
         if changed {
@@ -63,37 +65,37 @@
     }
 }
 
-/// What a follower learns.
+/// Event of a followed prefix.
 #[derive(Clone, Debug)]
 pub enum FollowEvent {
-    /// All keys under the prefix, as they are now.
+    /// All keys under the prefix in their current state.
     All(StorePage),
-    /// Changes in order.
+    /// Changes in the order of their revisions.
     Changes(StorePage),
-    /// The service has become unreachable for this follower.
+    /// The service has become unreachable.
     Disconnected,
-    /// The service is reachable again; it was lost for the given time.
+    /// The service is reachable again; carries the duration of the outage.
     Reconnected(Duration),
-    /// All changes up to a moment have been told.
+    /// All changes up to a point in time have been delivered.
     Confirmed(BootTime),
 }
 
 #[derive(Serialize)]
-struct StoreLine<'line> {
+struct StoreEventLine<'line> {
     prefix: &'line str,
     reason: String,
     lost_ms: u128,
-    /// Revision up to which everything is known; 0 where everything has to be read.
+    /// Revision up to which all changes are known; 0 if all keys have to be read.
     position: StoreRevision,
-    /// How long ago the service answered last, in milliseconds.
+    /// Time since the service's last response, in milliseconds.
     unanswered_ms: u128,
 }
 
-/// Follows a prefix until cancelled; the events go to the sender. Everything is read again when `outdated` is told.
+/// Follows a prefix until cancelled and sends its events. All keys are read again when `outdated` is notified.
 pub async fn follow_prefix(
     client: StoreClient,
     prefix: &'static str,
-    pace: FollowTiming,
+    timing: FollowTiming,
     events: mpsc::Sender<FollowEvent>,
     outdated: Arc<Notify>,
     cancel: CancellationToken,
@@ -101,14 +103,14 @@
     let mut follower = PrefixFollower {
         client,
         prefix,
-        pace,
+        timing,
         events,
         outdated,
         position: None,
-        wait: pace.watch_wait(true),
-        pause: FIRST_PAUSE,
-        lost_since: None,
-        answered: Instant::now(),
+        wait: timing.watch_wait(true),
+        retry_delay: FIRST_RETRY_DELAY,
+        disconnected_since: None,
+        last_response: Instant::now(),
     };
     tokio::select! {
         () = cancel.cancelled() => {}
@@ -119,42 +121,42 @@
 struct PrefixFollower {
     client: StoreClient,
     prefix: &'static str,
-    pace: FollowTiming,
+    timing: FollowTiming,
     events: mpsc::Sender<FollowEvent>,
-    /// Told where a watch has stayed silent about a change.
+    /// Notified when the watch has missed a change.
     outdated: Arc<Notify>,
-    /// Revision after which to go on; `None` where everything has to be read.
+    /// Revision after which the next watch continues; `None` if all keys have to be read.
     position: Option<u64>,
-    /// How long the next watch is held.
+    /// Time for which the next watch is held.
     wait: Duration,
-    pause: Duration,
-    lost_since: Option<Instant>,
-    /// When the service answered last.
-    answered: Instant,
+    retry_delay: Duration,
+    disconnected_since: Option<Instant>,
+    /// Time of the service's last response.
+    last_response: Instant,
 }
 
 impl PrefixFollower {
     async fn run(&mut self) {
         loop {
             let result = tokio::select! {
-                result = self.ask() => result,
+                result = self.fetch() => result,
                 () = self.outdated.notified() => {
-                    self.forget();
+                    self.invalidate();
                     continue;
                 }
             };
-            let open = match result {
-                Ok(event) => self.take(event).await,
-                Err(failure) => self.fail(&failure).await,
+            let is_open = match result {
+                Ok(event) => self.handle_event(event).await,
+                Err(failure) => self.handle_failure(&failure).await,
             };
-            if !open {
+            if !is_open {
                 return;
             }
         }
     }
 
-    /// Asks what is new.
-    async fn ask(&self) -> Result<FollowEvent, StoreFailure> {
+    /// Reads all keys, or watches for changes if the position is known.
+    async fn fetch(&self) -> Result<FollowEvent, StoreFailure> {
         let Some(after) = self.position else {
             let page = self.client.read_all(self.prefix).await?;
             return Ok(FollowEvent::All(page));
@@ -163,22 +165,22 @@
         Ok(FollowEvent::Changes(page))
     }
 
-    /// Reads everything again: a watch has stayed silent about a change.
-    fn forget(&mut self) {
+    /// Has all keys read again, because the watch has missed a change.
+    fn invalidate(&mut self) {
         self.log("store-watch-silent", String::new(), Duration::ZERO);
         self.position = None;
-        self.wait = self.pace.watch_wait(true);
+        self.wait = self.timing.watch_wait(true);
     }
 
-    async fn take(&mut self, event: FollowEvent) -> bool {
-        self.pause = FIRST_PAUSE;
-        self.answered = Instant::now();
-        if let Some(since) = self.lost_since.take() {
-            let lost = since.elapsed();
-            self.log("store-regained", String::new(), lost);
+    async fn handle_event(&mut self, event: FollowEvent) -> bool {
+        self.retry_delay = FIRST_RETRY_DELAY;
+        self.last_response = Instant::now();
+        if let Some(since) = self.disconnected_since.take() {
+            let outage = since.elapsed();
+            self.log("store-regained", String::new(), outage);
             if self
                 .events
-                .send(FollowEvent::Reconnected(lost))
+                .send(FollowEvent::Reconnected(outage))
                 .await
                 .is_err()
             {
@@ -190,48 +192,51 @@
         };
         self.position = Some(page.revision);
         if page.nameless > 0 {
-            let reason = format!("{} items name no key; the others hold", page.nameless);
+            let reason = format!(
+                "{} items have no key; the others are applied",
+                page.nameless
+            );
             self.log("store-items-nameless", reason, Duration::ZERO);
         }
         let changed = !page.items.is_empty();
-        self.wait = self.pace.watch_wait(changed);
-        let open = self.events.send(event).await.is_ok();
+        self.wait = self.timing.watch_wait(changed);
+        let is_open = self.events.send(event).await.is_ok();
         if changed {
-            tokio::time::sleep(self.pace.batch_delay).await;
+            tokio::time::sleep(self.timing.batch_delay).await;
         }
-        open
+        is_open
     }
 
-    async fn fail(&mut self, failure: &StoreFailure) -> bool {
+    async fn handle_failure(&mut self, failure: &StoreFailure) -> bool {
         if matches!(failure, StoreFailure::Compacted) {
             self.log("store-compacted", failure.to_string(), Duration::ZERO);
             self.position = None;
             return true;
         }
-        if self.lost_since.is_none() {
-            self.lost_since = Some(Instant::now());
+        if self.disconnected_since.is_none() {
+            self.disconnected_since = Some(Instant::now());
             self.log("store-lost", failure.to_string(), Duration::ZERO);
             if self.events.send(FollowEvent::Disconnected).await.is_err() {
                 return false;
             }
         }
-        // A watch that goes on from an old position while the service drops its history may stay silent about
-        // what it missed, so a cut one is not resumed: everything is read again.
+        // A watch resumed from an old position while the service compacts its history may omit what was missed, so an
+        // interrupted watch is never resumed: all keys are read again.
         self.position = None;
-        self.wait = self.pace.watch_wait(true);
+        self.wait = self.timing.watch_wait(true);
         let jitter = rand::random_range(0.75..1.25);
-        tokio::time::sleep(self.pause.mul_f64(jitter)).await;
-        self.pause = (self.pause * 2).min(LONGEST_PAUSE);
+        tokio::time::sleep(self.retry_delay.mul_f64(jitter)).await;
+        self.retry_delay = (self.retry_delay * 2).min(MAX_RETRY_DELAY);
         true
     }
 
-    fn log(&self, event: &'static str, reason: String, lost: Duration) {
-        let line = StoreLine {
+    fn log(&self, event: &'static str, reason: String, outage: Duration) {
+        let line = StoreEventLine {
             prefix: self.prefix,
             reason,
-            lost_ms: lost.as_millis(),
+            lost_ms: outage.as_millis(),
             position: self.position.unwrap_or(0),
-            unanswered_ms: self.answered.elapsed().as_millis(),
+            unanswered_ms: self.last_response.elapsed().as_millis(),
         };
         Logbook::global().record(event, &line);
     }
--- a/crates/samphiregrade-gateway/src/store/mirror.rs
+++ b/crates/samphiregrade-gateway/src/store/mirror.rs
@@ -1,7 +1,7 @@
-//! What a keeper knows of the key-value service, kept for the instances that follow the keeper in place of the service.
+//! A keeper's copy of the key-value service's data, for the instances that follow the keeper instead of the service.
 //!
-//! Answers the pattern of a fleet in which each instance holds a watch of its own: every change costs calls of all of
-//! them. Keepers follow the service, and entries follow keepers, as a stream with a position.
+//! Avoids that each instance of a fleet holds its own watch, with which every change would cost one call per instance.
+//! Keepers follow the service, and entries follow keepers as a change stream with a position.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Mutex;
@@ -16,57 +16,57 @@
 use crate::dialect::{StoreItem, StorePage, StoreRevision, StoreValue};
 use crate::hold::lock_ignoring_poison;
 
-/// Changes that are kept for those who follow; who has missed more takes everything anew.
+/// Maximum number of changes kept for followers; a follower that has missed more receives all keys again.
 const HISTORY_LIMIT: usize = 1024;
 
-/// What an instance asks a keeper for.
+/// Request of a follower for changes after its position.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StreamRequest {
-    /// Revision up to which the instance knows everything; `None` where it knows nothing.
+    /// Revision up to which the follower knows all changes; `None` if it knows nothing.
     pub position: Option<StoreRevision>,
-    /// How long the keeper may wait for something to tell.
+    /// Time for which the keeper may hold the request until a change occurs.
     pub hold: Duration,
 }
 
-/// What is new after a position.
+/// Changes after a position.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum StreamPart {
     /// The keeper has not read the service yet.
     Unread,
-    /// All keys as they are.
+    /// All keys in their current state.
     All(StorePage),
-    /// The changes since then, in order.
+    /// The changes after the position, in order.
     Changes(StorePage),
-    /// Nothing; the keeper's own revision, which may be an older one.
+    /// No changes; carries the keeper's revision, which may be older than the position.
     Nothing(StoreRevision),
 }
 
-/// A keeper's answer.
+/// A keeper's reply to a follower.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StreamReply {
-    /// Whether the service is out of the keeper's reach.
+    /// Whether the keeper can't reach the service at present.
     pub lost: bool,
-    /// Times that it has come back.
+    /// Number of times that the keeper has reached the service again after an outage.
     pub returns: u64,
-    /// How long ago it came back; `None` where it was never away.
+    /// Time since the end of the last outage; `None` if there was none.
     pub returned: Option<Duration>,
-    /// What is new.
+    /// The changes.
     pub part: StreamPart,
 }
 
 impl StreamReply {
-    /// Returns the revision up to which the keeper knows everything; `None` where it has read nothing.
+    /// Returns the revision up to which the keeper knows all changes; `None` if it has not read the service yet.
     #[must_use]
     pub fn revision(&self) -> Option<StoreRevision> {
         match &self.part {
             StreamPart::Unread => None,
             StreamPart::All(page) | StreamPart::Changes(page) => Some(page.revision),
-            StreamPart::Nothing(at) => Some(*at),
+            StreamPart::Nothing(revision) => Some(*revision),
         }
     }
 
-    /// Returns whether the keeper knows at least as much as one who knows everything up to a position: nobody goes
-    /// back.
+    /// Returns whether the keeper is at least as recent as a position; followers ignore other replies, so that they
+    /// never go back to an older state.
     #[must_use]
     pub fn reaches(&self, position: Option<StoreRevision>) -> bool {
         self.revision()
@@ -77,17 +77,17 @@
 #[derive(Debug, Default)]
 struct MirrorState {
     items: BTreeMap<SmolStr, StoreItem>,
-    /// Changes after `floor`, in order.
+    /// Changes after `history_start`, in order.
     history: VecDeque<StoreItem>,
-    floor: StoreRevision,
-    at: Option<StoreRevision>,
+    history_start: StoreRevision,
+    revision: Option<StoreRevision>,
     lost: bool,
     returns: u64,
     returned: Option<Instant>,
 }
 
 impl MirrorState {
-    fn take(&mut self, event: &FollowEvent, now: Instant) {
+    fn apply(&mut self, event: &FollowEvent, now: Instant) {
         match event {
             FollowEvent::Disconnected => self.lost = true,
             FollowEvent::Reconnected(_) => {
@@ -96,7 +96,7 @@
                 self.returned = Some(now);
             }
             FollowEvent::All(page) => self.replace(page),
-            FollowEvent::Changes(page) => self.change(page),
+            FollowEvent::Changes(page) => self.apply_changes(page),
             FollowEvent::Confirmed(_) => {}
         }
     }
@@ -107,11 +107,11 @@
             self.items.insert(item.key.clone(), item.clone());
         }
         self.history.clear();
-        self.floor = page.revision;
-        self.at = Some(page.revision);
+        self.history_start = page.revision;
+        self.revision = Some(page.revision);
     }
 
-    fn change(&mut self, page: &StorePage) {
+    fn apply_changes(&mut self, page: &StorePage) {
         for item in &page.items {
             if item.value == StoreValue::Removed {
                 self.items.remove(&item.key);
@@ -122,32 +122,32 @@
         }
         while self.history.len() > HISTORY_LIMIT {
             if let Some(dropped) = self.history.pop_front() {
-                self.floor = self.floor.max(dropped.revision);
+                self.history_start = self.history_start.max(dropped.revision);
             }
         }
-        self.at = Some(page.revision);
+        self.revision = Some(page.revision);
     }
 
     fn part_after(&self, position: Option<StoreRevision>) -> StreamPart {
-        let Some(at) = self.at else {
+        let Some(revision) = self.revision else {
             return StreamPart::Unread;
         };
-        let Some(position) = position.filter(|&position| position >= self.floor) else {
+        let Some(position) = position.filter(|&position| position >= self.history_start) else {
             return StreamPart::All(StorePage {
                 items: self.items.values().cloned().collect(),
-                revision: at,
+                revision,
                 ..StorePage::default()
             });
         };
-        if position >= at {
-            return StreamPart::Nothing(at);
+        if position >= revision {
+            return StreamPart::Nothing(revision);
         }
         let newer = self.history.iter();
-        // An item whose revision can't be read has none; it is told again.
+        // An item whose revision can't be decoded has revision 0; it is sent each time.
         let newer = newer.filter(|item| item.revision > position || item.revision == 0);
         StreamPart::Changes(StorePage {
             items: newer.cloned().collect(),
-            revision: at,
+            revision,
             ..StorePage::default()
         })
     }
@@ -163,13 +163,13 @@
     }
 }
 
-/// The keys as a keeper knows them.
+/// A keeper's copy of all keys, with the requests that wait for changes.
 #[derive(Debug)]
 pub struct StoreMirror {
     state: Mutex<MirrorState>,
     changed: watch::Sender<()>,
     /// Whether the keeper is about to stop.
-    leaving: CancellationToken,
+    stopping: CancellationToken,
 }
 
 impl Default for StoreMirror {
@@ -177,25 +177,25 @@
         Self {
             state: Mutex::default(),
             changed: watch::Sender::new(()),
-            leaving: CancellationToken::new(),
+            stopping: CancellationToken::new(),
         }
     }
 }
 
 impl StoreMirror {
-    /// Takes what the keeper learns.
+    /// Applies an event of the followed service.
     pub fn take(&self, event: &FollowEvent, now: Instant) {
-        lock_ignoring_poison(&self.state).take(event, now);
+        lock_ignoring_poison(&self.state).apply(event, now);
         self.changed.send_replace(());
     }
 
-    /// Returns the revision up to which everything is known; 0 before anything is.
+    /// Returns the revision up to which all changes are known; 0 before the first read.
     #[must_use]
     pub fn revision(&self) -> StoreRevision {
-        lock_ignoring_poison(&self.state).at.unwrap_or(0)
+        lock_ignoring_poison(&self.state).revision.unwrap_or(0)
     }
 
-    /// Returns the revision of a key; `None` where it is not known.
+    /// Returns the revision of a key; `None` if the key is unknown.
     #[must_use]
     pub fn revision_of(&self, key: &str) -> Option<StoreRevision> {
         lock_ignoring_poison(&self.state)
@@ -204,27 +204,28 @@
             .map(|item| item.revision)
     }
 
-    /// Holds no question back from now on: a keeper that stops is away for a shorter time.
+    /// Replies to all held requests at once and holds none from now on, which shortens the downtime of a restarting
+    /// keeper.
     pub fn release_waiters(&self) {
-        self.leaving.cancel();
+        self.stopping.cancel();
     }
 
-    /// Answers one who follows; waits where there is nothing to tell.
+    /// Handles a follower's request; holds it while there are no changes.
     pub async fn answer(&self, request: StreamRequest) -> StreamReply {
         let mut changed = self.changed.subscribe();
-        let due = Instant::now() + request.hold;
+        let deadline = Instant::now() + request.hold;
         loop {
             let now = Instant::now();
             let reply = lock_ignoring_poison(&self.state).reply(request.position, now);
-            let waits = matches!(reply.part, StreamPart::Nothing(_)) && !reply.lost;
-            if !waits || now >= due || self.leaving.is_cancelled() {
+            let must_wait = matches!(reply.part, StreamPart::Nothing(_)) && !reply.lost;
+            if !must_wait || now >= deadline || self.stopping.is_cancelled() {
                 return reply;
             }
             tokio::select! {
-                // The sender lives as long as the mirror.
+                // An error can't occur: the sender lives as long as the mirror.
                 _ = changed.changed() => {}
-                () = self.leaving.cancelled() => {}
-                () = tokio::time::sleep_until(due.into()) => {}
+                () = self.stopping.cancelled() => {}
+                () = tokio::time::sleep_until(deadline.into()) => {}
             }
         }
     }
--- a/crates/samphiregrade-gateway/src/store/mod.rs
+++ b/crates/samphiregrade-gateway/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service: one client, and the watches that follow it.
+//! Client of the key-value service, the watch that follows it, and the mirror that keepers serve to followers.
 
 mod client;
 mod follow;
@@ -14,6 +14,6 @@
 pub use proof::{ConfigurationProof, ConfigurationProver, ProofCache};
 pub use router::{EVENT_QUEUE, EventRouter};
 
-/// Prefix of all keys: one watch brings the configuration, the upstreams and what instances share. Three watches cost
-/// three calls at the start, after every cut and at every try during an outage.
+/// Prefix of all keys: a single watch covers the configuration, the upstreams and the data shared by instances. Three
+/// separate watches would cost three calls at the start, after every interruption and at every retry during an outage.
 pub const ALL_KEYS: &str = "";
