--- a/crates/samphiregrade-gateway/src/store/news.rs
+++ b/crates/samphiregrade-gateway/src/store/news.rs
@@ -1,8 +1,8 @@
-//! What an instance has heard of the key-value service's revisions, beside what its source tells: pure.
+//! Detects that the followed source lags behind the revisions that keepers report; performs no I/O.
 //!
-//! Answers the pattern of a source that no longer hears of changes and doesn't know it yet: its answers look like those
-//! of a service without changes. All keepers tell with their answers how far they know the service, so that an instance
-//! can date what its source has left out.
+//! Handles a source that no longer receives changes and hasn't noticed it yet: its replies look like those of a service
+//! without changes. All keepers report with their replies up to which revision they know the service, so that an
+//! instance can tell since when its source has been missing changes.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -11,86 +11,86 @@
 
 use crate::dialect::StoreRevision;
 
-/// Revisions that are kept with their times; those beyond count as heard of together with the last one.
-const HEARD_LIMIT: usize = 256;
+/// Maximum number of revisions kept with their report times; further ones count as reported together with the last one.
+const REPORT_LIMIT: usize = 256;
 
 #[derive(Clone, Copy, Debug)]
-struct HeardRevision {
+struct ReportedRevision {
     revision: StoreRevision,
-    heard: Instant,
+    reported: Instant,
 }
 
-/// The revisions that others have told and this instance doesn't know yet.
+/// The revisions that keepers have reported and this instance doesn't know yet.
 #[derive(Debug, Default)]
 pub struct LagTracker {
-    /// Revision up to which the instance knows everything.
+    /// Revision up to which the instance knows all changes.
     position: StoreRevision,
-    /// Newer revisions in order, with when each was heard of first.
-    untaken: VecDeque<HeardRevision>,
+    /// Newer revisions in ascending order, with the time at which each was first reported.
+    missing: VecDeque<ReportedRevision>,
     newest: StoreRevision,
-    /// Who told the newest one first.
-    teller: SmolStr,
+    /// Keeper that reported the newest revision first.
+    reporter: SmolStr,
 }
 
 impl LagTracker {
-    /// Notes a revision up to which somebody knows everything; returns whether the instance has just fallen behind.
-    pub fn hear(&mut self, teller: &SmolStr, revision: StoreRevision, now: Instant) -> bool {
+    /// Records a revision up to which a keeper knows all changes; returns whether the instance has just begun to lag.
+    pub fn record(&mut self, reporter: &SmolStr, revision: StoreRevision, now: Instant) -> bool {
         if revision <= self.newest {
             return false;
         }
         self.newest = revision;
-        self.teller = teller.clone();
+        self.reporter = reporter.clone();
         if revision <= self.position {
             return false;
         }
-        if self.untaken.len() >= HEARD_LIMIT
-            && let Some(last) = self.untaken.back_mut()
+        if self.missing.len() >= REPORT_LIMIT
+            && let Some(last) = self.missing.back_mut()
         {
             last.revision = revision;
             return false;
         }
-        self.untaken.push_back(HeardRevision {
+        self.missing.push_back(ReportedRevision {
             revision,
-            heard: now,
+            reported: now,
         });
-        self.untaken.len() == 1
+        self.missing.len() == 1
     }
 
-    /// Notes that the instance knows everything up to a revision.
-    pub fn take(&mut self, position: StoreRevision) {
+    /// Records that the instance knows all changes up to a revision.
+    pub fn advance(&mut self, position: StoreRevision) {
         self.position = self.position.max(position);
         while self
-            .untaken
+            .missing
             .front()
-            .is_some_and(|news| news.revision <= self.position)
+            .is_some_and(|report| report.revision <= self.position)
         {
-            self.untaken.pop_front();
+            self.missing.pop_front();
         }
     }
 
-    /// Returns since when somebody has been known to know more than this instance.
+    /// Returns since when the instance has lagged behind a reported revision; `None` if it doesn't lag.
     #[must_use]
-    pub fn behind_since(&self) -> Option<Instant> {
-        self.untaken.front().map(|news| news.heard)
+    pub fn lagging_since(&self) -> Option<Instant> {
+        self.missing.front().map(|report| report.reported)
     }
 
-    /// Returns when a source that was turned to at a moment is to be left: it has had its time to tell what others had
-    /// told before. `None` while nobody knows more.
+    /// Returns when a source that has been followed since `followed_since` counts as stale: from then on it has had the
+    /// whole timeout to deliver what others had reported before. `None` while the instance doesn't lag.
     #[must_use]
-    pub fn leave_at(&self, turned: Instant, patience: Duration) -> Option<Instant> {
-        let since = self.behind_since()?;
-        Some(since.max(turned) + patience)
+    pub fn stale_at(&self, followed_since: Instant, timeout: Duration) -> Option<Instant> {
+        let since = self.lagging_since()?;
+        Some(since.max(followed_since) + timeout)
     }
 
-    /// Returns the newest revision that was told.
+    /// Returns the newest reported revision.
     #[must_use]
     pub fn newest(&self) -> StoreRevision {
         self.newest
     }
 
-    /// Returns who told the newest revision first; empty where nobody did.
+    /// Returns the keeper that reported the newest revision first; empty if none was reported.
     #[must_use]
-    pub fn teller(&self) -> &SmolStr {
-        &self.teller
+    pub fn reporter(&self) -> &SmolStr {
+        &self.reporter
     }
 }
--- a/crates/samphiregrade-gateway/src/store/proof.rs
+++ b/crates/samphiregrade-gateway/src/store/proof.rs
@@ -1,8 +1,10 @@
-//! Proofs of how fresh the configuration is: a keeper reads it while entries ask, and tells when that was.
+//! Proofs of the configuration's freshness: a keeper reads the configuration while entries request proofs, and reports
+//! the time of the read.
 //!
-//! Answers the pattern of a fleet in which each instance would have to ask the key-value service every second or two
-//! whether a key was withdrawn. All entries of a failure domain ask the same keeper first, so that a few calls prove it
-//! for all; where that keeper falls silent or is turned away, the next one begins to read with the first question.
+//! Avoids that each instance of a fleet queries the key-value service every second or two to find out whether a key was
+//! withdrawn. All entries of a failure domain request proofs from the same keeper first, so that a few calls serve all
+//! of them. If that keeper stops responding or its calls are rejected, the next keeper starts reading with the first
+//! request.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -18,87 +20,89 @@
 use crate::dialect::StoreRevision;
 use crate::hold::lock_ignoring_poison;
 
-/// Reads after the last question with which a keeper goes on.
-const READS_UNASKED: u32 = 2;
+/// Number of reads with which a keeper continues after the last request.
+const READS_AFTER_REQUEST: u32 = 2;
 
-/// Longest wait of a question for a read that has been begun for it.
-const FIRST_READ: Duration = Duration::from_millis(120);
+/// Maximum time for which a request waits for the read that it has triggered.
+const FIRST_READ_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// Pause after a read that failed.
-const FAILED_PAUSE: Duration = Duration::from_millis(250);
+/// Delay after a failed read.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Longest wait for a read: a service that is slow by dozens answers within it, and one that was away is asked again as
-/// soon as it is back.
+/// Timeout of a read: long enough for a service that is slower than usual by a factor of dozens, and short enough that
+/// the next read follows soon after an outage.
 const READ_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time in which a watch brings what a read has shown; changes are gathered for up to a second.
-const WATCH_PATIENCE: Duration = Duration::from_millis(1200);
+/// Time within which the watch has to deliver a change that a read has returned; changes are batched for up to a
+/// second.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Which configuration was the newest one at a moment.
+/// Proof of which configuration was the newest one at a point in time.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ConfigurationProof {
-    /// Revision of its last change.
+    /// Revision of the configuration's last change.
     pub revision: StoreRevision,
-    /// How long before the question that was.
+    /// Age of the proof when the request arrived.
     pub age: Duration,
 }
 
 /// A read of the configuration.
 #[derive(Clone, Copy, Debug)]
-struct ProvedRead {
+struct ConfigurationRead {
     revision: StoreRevision,
-    /// When it was sent.
+    /// When the read was sent.
     sent: BootTime,
 }
 
-/// What a keeper has proved, and whether anybody asks.
+/// The latest read of the configuration, and whether proofs are requested.
 #[derive(Debug)]
 pub struct ProofCache {
-    read: watch::Sender<Option<ProvedRead>>,
-    /// Until when the keeper reads.
-    reads_until: Mutex<Option<Instant>>,
+    read: watch::Sender<Option<ConfigurationRead>>,
+    /// Time until which the keeper continues to read.
+    active_until: Mutex<Option<Instant>>,
     /// Time between two reads, in milliseconds.
     interval: AtomicU64,
-    wanted: Notify,
+    requested: Notify,
 }
 
 impl Default for ProofCache {
     fn default() -> Self {
         Self {
             read: watch::Sender::new(None),
-            reads_until: Mutex::default(),
+            active_until: Mutex::default(),
             interval: AtomicU64::new(1000),
-            wanted: Notify::new(),
+            requested: Notify::new(),
         }
     }
 }
 
 impl ProofCache {
-    /// Answers a question; waits a little where nobody has asked lately.
+    /// Handles a request for a proof; waits briefly for a new read if there was no recent request.
     pub async fn answer(&self) -> Option<ConfigurationProof> {
-        let came = BootTime::now();
-        let idle = !self.is_asked();
+        let received = BootTime::now();
+        let idle = !self.is_requested();
         let interval = Duration::from_millis(self.interval.load(Ordering::Relaxed));
-        *lock_ignoring_poison(&self.reads_until) = Some(Instant::now() + interval * READS_UNASKED);
+        *lock_ignoring_poison(&self.active_until) =
+            Some(Instant::now() + interval * READS_AFTER_REQUEST);
         if idle {
             let mut reads = self.read.subscribe();
-            self.wanted.notify_one();
-            // Without a read in time the last one is told, with its age.
-            let _ = tokio::time::timeout(FIRST_READ, reads.changed()).await;
+            self.requested.notify_one();
+            // If no read completes in time, the reply carries the last read with its age.
+            let _ = tokio::time::timeout(FIRST_READ_TIMEOUT, reads.changed()).await;
         }
         let read = (*self.read.borrow())?;
         Some(ConfigurationProof {
             revision: read.revision,
-            age: came.since(read.sent),
+            age: received.since(read.sent),
         })
     }
 
-    fn is_asked(&self) -> bool {
-        lock_ignoring_poison(&self.reads_until).is_some_and(|until| Instant::now() < until)
+    fn is_requested(&self) -> bool {
+        lock_ignoring_poison(&self.active_until).is_some_and(|until| Instant::now() < until)
     }
 }
 
-/// Reads the configuration for as long as somebody asks.
+/// Reads the configuration for as long as proofs are requested.
 pub struct ConfigurationProver {
     /// The key-value service.
     pub store: StoreClient,
@@ -106,30 +110,30 @@
     pub key: &'static str,
     /// Time between two reads.
     pub interval: Duration,
-    /// Where reads are told.
+    /// Receives the reads.
     pub cache: Arc<ProofCache>,
-    /// What the keeper's watch has brought.
+    /// Data that the keeper's watch has delivered.
     pub mirror: Arc<StoreMirror>,
-    /// Told where the watch has stayed silent about a change.
+    /// Notified when the watch has missed a change.
     pub outdated: Arc<Notify>,
 }
 
 impl ConfigurationProver {
-    /// Reads until told to stop.
+    /// Reads until cancelled.
     pub async fn run(self, stop: CancellationToken) {
         let interval = u64::try_from(self.interval.as_millis()).unwrap_or(u64::MAX);
         self.cache.interval.store(interval, Ordering::Relaxed);
         loop {
-            if !self.cache.is_asked() {
+            if !self.cache.is_requested() {
                 tokio::select! {
                     () = stop.cancelled() => return,
-                    () = self.cache.wanted.notified() => {}
+                    () = self.cache.requested.notified() => {}
                 }
             }
             let pause = if self.read().await {
                 self.interval
             } else {
-                FAILED_PAUSE
+                RETRY_DELAY
             };
             tokio::select! {
                 () = stop.cancelled() => return,
@@ -138,13 +142,13 @@
         }
     }
 
-    /// Reads the configuration once; returns whether that proved anything.
+    /// Reads the configuration once; returns whether the read yielded a proof.
     async fn read(&self) -> bool {
         let sent = BootTime::now();
         let page = match self.store.read_within(self.key, READ_TIMEOUT).await {
             Ok(page) => page,
             Err(failure) => {
-                log::debug!("the configuration is not confirmed: {failure}");
+                log::debug!("no proof of the configuration's freshness: {failure}");
                 return false;
             }
         };
@@ -154,24 +158,24 @@
         let revision = item.revision;
         self.cache
             .read
-            .send_replace(Some(ProvedRead { revision, sent }));
-        if self.is_behind(revision) {
-            self.expect_change(revision);
+            .send_replace(Some(ConfigurationRead { revision, sent }));
+        if self.is_newer_than_mirror(revision) {
+            self.check_watch(revision);
         }
         true
     }
 
-    fn is_behind(&self, revision: StoreRevision) -> bool {
+    fn is_newer_than_mirror(&self, revision: StoreRevision) -> bool {
         let known = self.mirror.revision_of(self.key);
         known.is_some_and(|known| known < revision)
     }
 
-    /// Has everything read again where the watch doesn't bring a change that was read.
-    fn expect_change(&self, revision: StoreRevision) {
+    /// Has all keys read again if the watch doesn't deliver a change that was read.
+    fn check_watch(&self, revision: StoreRevision) {
         let (key, mirror) = (self.key, self.mirror.clone());
         let outdated = self.outdated.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(WATCH_PATIENCE).await;
+            tokio::time::sleep(WATCH_TIMEOUT).await;
             let known = mirror.revision_of(key);
             if known.is_some_and(|known| known < revision) {
                 outdated.notify_one();
--- a/crates/samphiregrade-gateway/src/store/router.rs
+++ b/crates/samphiregrade-gateway/src/store/router.rs
@@ -1,27 +1,27 @@
-//! Handing what one watch brings to those who follow parts of it.
+//! Distributes the events of one watch among followers of key prefixes.
 
 use tokio::sync::mpsc;
 
 use super::follow::FollowEvent;
 use crate::dialect::StorePage;
 
-/// Events of the key-value service that may wait for one who follows.
+/// Maximum number of queued events per follower.
 pub const EVENT_QUEUE: usize = 64;
 
-/// One who follows the keys under a prefix.
-struct PartFollower {
+/// A follower of the keys under a prefix.
+struct PrefixFollower {
     prefix: &'static str,
     sender: mpsc::Sender<FollowEvent>,
 }
 
-/// Divides events among those who follow parts of all keys.
+/// Distributes events among followers of key prefixes.
 pub struct EventRouter {
     events: mpsc::Receiver<FollowEvent>,
-    followers: Vec<PartFollower>,
+    followers: Vec<PrefixFollower>,
 }
 
 impl EventRouter {
-    /// Makes a router of events that concern all keys.
+    /// Creates a router of events that concern all keys.
     #[must_use]
     pub fn new(events: mpsc::Receiver<FollowEvent>) -> Self {
         Self {
@@ -30,45 +30,45 @@
         }
     }
 
-    /// Adds a follower of the keys under a prefix; returns its events.
+    /// Adds a follower of the keys under a prefix; returns the receiver of its events.
     #[must_use]
     pub fn add(&mut self, prefix: &'static str) -> mpsc::Receiver<FollowEvent> {
         let (sender, events) = mpsc::channel(EVENT_QUEUE);
-        self.followers.push(PartFollower { prefix, sender });
+        self.followers.push(PrefixFollower { prefix, sender });
         events
     }
 
-    /// Hands events on until their source has ended.
+    /// Distributes events until their source ends.
     pub async fn run(mut self) {
         while let Some(event) = self.events.recv().await {
             for follower in &self.followers {
-                let Some(part) = part_of(&event, follower.prefix) else {
+                let Some(part) = select_prefix(&event, follower.prefix) else {
                     continue;
                 };
                 if follower.sender.send(part).await.is_err() {
-                    log::debug!("nobody follows {} any more", follower.prefix);
+                    log::debug!("the follower of prefix `{}` has ended", follower.prefix);
                 }
             }
         }
     }
 }
 
-/// Returns the part of an event that concerns a prefix; `None` where it says nothing about it.
-fn part_of(event: &FollowEvent, prefix: &str) -> Option<FollowEvent> {
+/// Returns the part of an event that concerns a prefix; `None` if the event has no relevance for the prefix.
+fn select_prefix(event: &FollowEvent, prefix: &str) -> Option<FollowEvent> {
     match event {
-        FollowEvent::All(page) => Some(FollowEvent::All(part_of_page(page, prefix))),
+        FollowEvent::All(page) => Some(FollowEvent::All(select_page_items(page, prefix))),
         FollowEvent::Changes(page) => {
-            let part = part_of_page(page, prefix);
-            let concerns = prefix.is_empty() || !part.items.is_empty();
-            concerns.then_some(FollowEvent::Changes(part))
+            let part = select_page_items(page, prefix);
+            let is_relevant = prefix.is_empty() || !part.items.is_empty();
+            is_relevant.then_some(FollowEvent::Changes(part))
         }
         FollowEvent::Disconnected => Some(FollowEvent::Disconnected),
-        FollowEvent::Reconnected(lost) => Some(FollowEvent::Reconnected(*lost)),
-        FollowEvent::Confirmed(moment) => Some(FollowEvent::Confirmed(*moment)),
+        FollowEvent::Reconnected(outage) => Some(FollowEvent::Reconnected(*outage)),
+        FollowEvent::Confirmed(confirmed_until) => Some(FollowEvent::Confirmed(*confirmed_until)),
     }
 }
 
-fn part_of_page(page: &StorePage, prefix: &str) -> StorePage {
+fn select_page_items(page: &StorePage, prefix: &str) -> StorePage {
     let items = page.items.iter();
     StorePage {
         items: items
--- a/crates/samphiregrade-gateway/tests/suite/disk.rs
+++ b/crates/samphiregrade-gateway/tests/suite/disk.rs
@@ -1,4 +1,4 @@
-//! Facts on disk through restarts, torn ends and compaction.
+//! Tests of facts on disk: restarts, torn and damaged frames, and compaction.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -22,9 +22,9 @@
     paths
 }
 
-/// Returns whether a turn is known, and what it said is on disk as its index says.
-async fn reads(disk: &FactDisk, recovered: &mut RecoveredFacts, id: &str) -> bool {
-    let Some(chain) = recovered.book.chain(&id.into(), Instant::now()) else {
+/// Returns whether a turn is known; checks that its content on disk is as written.
+async fn is_readable(disk: &FactDisk, recovered: &mut RecoveredFacts, id: &str) -> bool {
+    let Some(chain) = recovered.index.chain(&id.into(), Instant::now()) else {
         return false;
     };
     let [TurnContent::Disk(location)] = chain.turns[..] else {
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test]
-async fn facts_and_state_are_found_again() {
+async fn facts_and_state_survive_a_restart() {
     let folder = TempDir::new().expect("a folder");
     let (disk, recovered) = FactDisk::open(folder.path()).expect("a disk");
     assert!(recovered.state.is_none());
@@ -56,48 +56,51 @@
         complete: true,
         ..DiskState::default()
     };
-    assert!(disk.remember(state.clone()).await);
-    let (disk, mut again) = FactDisk::open(folder.path()).expect("a disk");
-    assert_eq!(again.state, Some(state));
-    assert!(reads(&disk, &mut again, "a").await);
+    assert!(disk.write_state(state.clone()).await);
+    let (disk, mut recovered) = FactDisk::open(folder.path()).expect("a disk");
+    assert_eq!(recovered.state, Some(state));
+    assert!(is_readable(&disk, &mut recovered, "a").await);
 }
 
 #[tokio::test]
-async fn torn_end_loses_only_what_was_not_synced() {
+async fn torn_end_loses_only_unsynced_facts() {
     let folder = TempDir::new().expect("a folder");
     let (disk, _) = FactDisk::open(folder.path()).expect("a disk");
     assert!(append(&disk, fact("a")).await);
-    let first = segments(folder.path())[0].clone();
-    let whole = fs::read(&first).expect("a segment");
-    for cut in 1..whole.len() {
-        let torn = [&whole[..], &whole[..cut]].concat();
-        fs::write(&first, torn).expect("a torn segment");
-        let (disk, mut again) = FactDisk::open(folder.path()).expect("a disk");
-        assert_eq!(again.damaged, 1, "cut at {cut}");
-        assert!(reads(&disk, &mut again, "a").await, "cut at {cut}");
+    let segment = segments(folder.path())[0].clone();
+    let intact = fs::read(&segment).expect("a segment");
+    for cut in 1..intact.len() {
+        let torn = [&intact[..], &intact[..cut]].concat();
+        fs::write(&segment, torn).expect("a torn segment");
+        let (disk, mut recovered) = FactDisk::open(folder.path()).expect("a disk");
+        assert_eq!(recovered.damaged, 1, "cut at {cut}");
+        assert!(
+            is_readable(&disk, &mut recovered, "a").await,
+            "cut at {cut}"
+        );
     }
 }
 
 #[tokio::test]
-async fn damaged_frame_is_not_believed_and_nothing_is_written_behind_it() {
+async fn damaged_frame_is_rejected_and_nothing_is_written_after_it() {
     let folder = TempDir::new().expect("a folder");
     let (disk, _) = FactDisk::open(folder.path()).expect("a disk");
     assert!(append(&disk, fact("a")).await);
-    let first = segments(folder.path())[0].clone();
-    let mut bytes = fs::read(&first).expect("a segment");
+    let segment = segments(folder.path())[0].clone();
+    let mut bytes = fs::read(&segment).expect("a segment");
     let last = bytes.len() - 1;
     bytes[last] ^= 1;
-    fs::write(&first, bytes).expect("a damaged segment");
-    let (disk, mut again) = FactDisk::open(folder.path()).expect("a disk");
-    assert!(!reads(&disk, &mut again, "a").await);
+    fs::write(&segment, bytes).expect("a damaged segment");
+    let (disk, mut recovered) = FactDisk::open(folder.path()).expect("a disk");
+    assert!(!is_readable(&disk, &mut recovered, "a").await);
     assert!(append(&disk, fact("b")).await);
-    let (disk, mut third) = FactDisk::open(folder.path()).expect("a disk");
-    assert!(reads(&disk, &mut third, "b").await);
+    let (disk, mut recovered) = FactDisk::open(folder.path()).expect("a disk");
+    assert!(is_readable(&disk, &mut recovered, "b").await);
     assert_eq!(segments(folder.path()).len(), 2);
 }
 
 #[tokio::test]
-async fn compaction_keeps_what_is_written_again_and_what_comes_meanwhile() {
+async fn compaction_keeps_rewritten_and_new_facts() {
     let folder = TempDir::new().expect("a folder");
     let (disk, _) = FactDisk::open(folder.path()).expect("a disk");
     for id in ["a", "b", "c"] {
@@ -106,16 +109,16 @@
     assert!(disk.begin_segment().await);
     assert!(append(&disk, fact("b")).await);
     assert!(append(&disk, fact("d")).await);
-    disk.drop_older();
+    disk.remove_older();
     assert!(append(&disk, fact("e")).await);
-    let (disk, mut again) = FactDisk::open(folder.path()).expect("a disk");
-    let mut found = Vec::new();
+    let (disk, mut recovered) = FactDisk::open(folder.path()).expect("a disk");
+    let mut kept = Vec::new();
     for id in ["a", "b", "c", "d", "e"] {
-        if reads(&disk, &mut again, id).await {
-            found.push(id);
+        if is_readable(&disk, &mut recovered, id).await {
+            kept.push(id);
         }
     }
-    assert_eq!(found, ["b", "d", "e"]);
+    assert_eq!(kept, ["b", "d", "e"]);
 }
 
 #[tokio::test]
--- a/crates/samphiregrade-gateway/tests/suite/facts.rs
+++ b/crates/samphiregrade-gateway/tests/suite/facts.rs
@@ -1,4 +1,4 @@
-//! Budgets, chains, exports and expiry of facts, in memory.
+//! Tests of the in-memory index of facts: budgets, chains, exports and expiry.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
 
 const KEEP: Duration = Duration::from_mins(1);
 
-/// Joins what a chain in memory said.
+/// Concatenates the content of a chain that is in memory.
 pub fn joined(chain: &KnownChain) -> Vec<u8> {
     let mut bytes = Vec::new();
     for content in &chain.turns {
@@ -24,13 +24,13 @@
     bytes
 }
 
-/// Returns one part of all facts.
-pub fn export_all(book: &FactIndex, part: u8) -> FactPart {
+/// Exports all facts of one part.
+pub fn export_all(fact_index: &FactIndex, part: u8) -> FactPart {
     let request = ExportRequest {
         part,
         ..ExportRequest::default()
     };
-    book.export(&request, &KeeperPlacement::default())
+    fact_index.export(&request, &KeeperPlacement::default())
 }
 
 pub fn turn(id: &str, previous: Option<&str>, input: &[u8], output: &[u8]) -> FactRecord {
@@ -57,19 +57,19 @@
 }
 
 #[test]
-fn budget_counts_open_turns_at_their_most() {
+fn budget_counts_open_turns_at_their_maximum() {
     let mut ledger = ProgramLedger::default();
     ledger.add(reservation("a", 100, Some(40)));
     ledger.add(reservation("b", 100, None));
     ledger.add(reservation("c", 100, None));
-    assert!(ledger.holds(240, &"c".into(), 100));
-    assert!(!ledger.holds(239, &"c".into(), 100));
+    assert!(ledger.fits_budget(240, &"c".into(), 100));
+    assert!(!ledger.fits_budget(239, &"c".into(), 100));
     ledger.add(reservation("b", 100, Some(0)));
-    assert!(ledger.holds(140, &"c".into(), 100));
+    assert!(ledger.fits_budget(140, &"c".into(), 100));
 }
 
 quickcheck! {
-    fn merged_ledgers_know_what_either_knew(left: Vec<(u8, u8, bool)>, right: Vec<(u8, u8, bool)>) -> bool {
+    fn merge_of_ledgers_is_commutative(left: Vec<(u8, u8, bool)>, right: Vec<(u8, u8, bool)>) -> bool {
         let ledger = |rows: &[(u8, u8, bool)]| {
             let mut ledger = ProgramLedger::default();
             for (turn, spent, ended) in rows {
@@ -89,81 +89,81 @@
         sorted(one) == sorted(other)
     }
 
-    fn chain_joins_inputs_and_outputs_from_the_oldest(parts: Vec<(Vec<u8>, Vec<u8>)>) -> bool {
+    fn chain_is_ordered_from_the_oldest_turn(parts: Vec<(Vec<u8>, Vec<u8>)>) -> bool {
         let now = Instant::now();
-        let mut book = FactIndex::default();
+        let mut fact_index = FactIndex::default();
         let mut expected = Vec::new();
         for (index, (input, output)) in parts.iter().enumerate() {
             let previous = index.checked_sub(1).map(|index| index.to_string());
-            book.take(&turn(&index.to_string(), previous.as_deref(), input, output), now);
+            fact_index.insert(&turn(&index.to_string(), previous.as_deref(), input, output), now);
             expected.extend_from_slice(input);
             expected.extend_from_slice(output);
         }
         let Some(last) = parts.len().checked_sub(1) else {
             return true;
         };
-        let chain = book.chain(&last.to_string().into(), now).expect("a known chain");
+        let chain = fact_index.chain(&last.to_string().into(), now).expect("a known chain");
         chain.missing.is_none() && joined(&chain) == expected
     }
 
-    fn export_brings_the_same_facts(inputs: Vec<Vec<u8>>) -> bool {
+    fn exported_facts_rebuild_the_same_index(inputs: Vec<Vec<u8>>) -> bool {
         let now = Instant::now();
-        let mut book = FactIndex::default();
+        let mut fact_index = FactIndex::default();
         let shared = vec![7; 5000];
         for (index, input) in inputs.iter().enumerate() {
             let input = [&shared[..], input].concat();
-            book.take(&turn(&index.to_string(), None, &input, b"out\n"), now);
+            fact_index.insert(&turn(&index.to_string(), None, &input, b"out\n"), now);
         }
         let mut copy = FactIndex::default();
         for part in 0..=u8::MAX {
-            for fact in export_all(&book, part).facts {
-                copy.take(&fact, now);
+            for fact in export_all(&fact_index, part).facts {
+                copy.insert(&fact, now);
             }
         }
         (0..inputs.len()).all(|index| {
             let id = index.to_string().into();
-            copy.chain(&id, now) == book.chain(&id, now)
-        }) && copy.ledger("p").reservations.len() == book.ledger("p").reservations.len()
+            copy.chain(&id, now) == fact_index.chain(&id, now)
+        }) && copy.ledger("p").reservations.len() == fact_index.ledger("p").reservations.len()
     }
 }
 
 #[test]
 fn content_leaves_memory_once_it_is_on_disk() {
     let now = Instant::now();
-    let mut book = FactIndex::default();
+    let mut fact_index = FactIndex::default();
     let fact = turn("a", None, b"in", b"out");
-    book.take(&fact, now);
+    fact_index.insert(&fact, now);
     let location = FrameLocation {
         segment: 3,
         offset: 17,
         length: 40,
     };
-    book.place_on_disk(&fact.without_content(), location);
-    let chain = book.chain(&"a".into(), now).expect("a known chain");
+    fact_index.set_disk_location(&fact.without_content(), location);
+    let chain = fact_index.chain(&"a".into(), now).expect("a known chain");
     assert_eq!(chain.turns, [TurnContent::Disk(location)]);
-    let parts = (0..=u8::MAX).map(|part| export_all(&book, part));
+    let parts = (0..=u8::MAX).map(|part| export_all(&fact_index, part));
     let on_disk: Vec<FrameLocation> = parts.flat_map(|part| part.on_disk).collect();
     assert_eq!(on_disk, [location]);
 }
 
 #[test]
-fn used_chain_is_kept_and_others_expire() {
+fn used_chain_is_kept_and_unused_ones_expire() {
     let start = Instant::now();
-    let mut book = FactIndex::default();
-    book.take(&turn("a", None, b"1", b"2"), start);
-    book.take(&turn("b", Some("a"), b"3", b"4"), start);
-    book.take(&turn("x", None, b"5", b"6"), start);
+    let mut fact_index = FactIndex::default();
+    fact_index.insert(&turn("a", None, b"1", b"2"), start);
+    fact_index.insert(&turn("b", Some("a"), b"3", b"4"), start);
+    fact_index.insert(&turn("x", None, b"5", b"6"), start);
     let later = start + Duration::from_secs(80);
-    assert!(book.chain(&"b".into(), later).is_some());
-    book.expire(start + Duration::from_secs(85));
-    assert_eq!(book.turn_count(), 2);
-    assert!(book.chain(&"b".into(), later).is_some());
-    book.expire(start + Duration::from_mins(5));
-    assert_eq!((book.turn_count(), book.live_bytes()), (0, 0));
+    assert!(fact_index.chain(&"b".into(), later).is_some());
+    fact_index.expire(start + Duration::from_secs(85));
+    assert_eq!(fact_index.turn_count(), 2);
+    assert!(fact_index.chain(&"b".into(), later).is_some());
+    fact_index.expire(start + Duration::from_mins(5));
+    assert_eq!((fact_index.turn_count(), fact_index.live_bytes()), (0, 0));
 }
 
 #[test]
-fn place_of_the_own_line_goes_before_the_programs() {
+fn place_of_the_own_session_is_preferred_to_the_programs() {
     let place = |session: &str, upstream: &str| {
         Some(TurnPlace {
             started: None,
@@ -189,15 +189,15 @@
 }
 
 #[test]
-fn export_leaves_out_what_is_known_and_what_the_slot_need_not_have() {
+fn export_omits_known_facts_and_those_of_other_slots() {
     let now = Instant::now();
-    let mut book = FactIndex::default();
+    let mut fact_index = FactIndex::default();
     for index in 0..40 {
         let mut fact = turn(&format!("t{index}"), None, b"in", b"out");
         if let FactRecord::Turn(turn) = &mut fact {
             turn.program = format!("p{index}").into();
         }
-        book.take(&fact, now);
+        fact_index.insert(&fact, now);
     }
     let slots = (0..8_u16).map(|index| KeeperSlot {
         name: format!("k{index}").into(),
@@ -213,7 +213,7 @@
             known: Vec::new(),
             ..ExportRequest::default()
         };
-        let facts = book.export(&request, &placement).facts;
+        let facts = fact_index.export(&request, &placement).facts;
         of_slot += facts.len();
         for fact in facts {
             let FactRecord::Turn(turn) = fact else {
@@ -221,8 +221,8 @@
             };
             assert!(placement.group(&turn.program).contains(&3));
         }
-        request.known = book.known_turns(part);
-        assert!(book.export(&request, &placement).facts.is_empty());
+        request.known = fact_index.known_digests(part);
+        assert!(fact_index.export(&request, &placement).facts.is_empty());
     }
     let expected = (0..40).filter(|index| placement.group(&format!("p{index}")).contains(&3));
     assert_eq!(of_slot, expected.count());
--- a/crates/samphiregrade-gateway/tests/suite/health.rs
+++ b/crates/samphiregrade-gateway/tests/suite/health.rs
@@ -1,4 +1,4 @@
-//! Which instances count as cut off from the keepers.
+//! Tests of the reachability of keepers: which instances count as cut off, and when helpers are needed.
 
 use std::time::{Duration, Instant};
 
@@ -20,43 +20,43 @@
     KeeperPlacement::first(slots.collect(), 2)
 }
 
-/// Judges after a second in which only the keepers of some domains have answered.
-fn judged(placement: &KeeperPlacement, answering: &[&str], start: Instant) -> KeeperHealth {
+/// Returns the health after a second in which only the keepers of some domains have replied.
+fn health_after(placement: &KeeperPlacement, responding: &[&str], start: Instant) -> KeeperHealth {
     let health = KeeperHealth::default();
-    assert!(!health.judge(placement, start));
+    assert!(!health.update_cut_off(placement, start));
     for slot in &placement.slots {
-        if answering.contains(&slot.domain.as_str()) {
-            health.note(&slot.name, start + AFTER);
+        if responding.contains(&slot.domain.as_str()) {
+            health.record_reply(&slot.name, start + AFTER);
         }
     }
-    health.judge(placement, start + AFTER);
+    health.update_cut_off(placement, start + AFTER);
     health
 }
 
 #[test]
 fn instances_that_miss_one_domain_are_not_cut_off() {
     let start = Instant::now();
-    let health = judged(&placement(), &["b", "c", "d"], start);
+    let health = health_after(&placement(), &["b", "c", "d"], start);
     assert_eq!(health.cut_off_for(start + AFTER), Duration::ZERO);
-    let health = judged(&placement(), &["a", "b", "c"], start);
+    let health = health_after(&placement(), &["a", "b", "c"], start);
     assert_eq!(health.cut_off_for(start + AFTER), Duration::ZERO);
 }
 
 #[test]
-fn instances_of_the_cut_domain_are_cut_off_until_enough_answer_again() {
+fn instances_of_a_partitioned_domain_are_cut_off_until_enough_keepers_reply() {
     let start = Instant::now();
     let placement = placement();
-    let health = judged(&placement, &["a"], start);
+    let health = health_after(&placement, &["a"], start);
     assert!(!health.cut_off_for(start + AFTER).is_zero());
     for slot in &placement.slots {
-        health.note(&slot.name, start + 2 * AFTER);
+        health.record_reply(&slot.name, start + 2 * AFTER);
     }
-    assert!(health.judge(&placement, start + 2 * AFTER));
+    assert!(health.update_cut_off(&placement, start + 2 * AFTER));
     assert_eq!(health.cut_off_for(start + 2 * AFTER), Duration::ZERO);
 }
 
 #[test]
-fn half_of_three_copies_within_reach_is_a_cut() {
+fn instance_that_reaches_one_of_three_copies_is_cut_off() {
     let slots = ["a", "b", "c"].map(|domain| KeeperSlot {
         name: domain.into(),
         address: ([127, 0, 0, 1], 7000).into(),
@@ -64,49 +64,52 @@
     });
     let placement = KeeperPlacement::first(slots.to_vec(), 1);
     let start = Instant::now();
-    let one = judged(&placement, &["a"], start);
+    let one = health_after(&placement, &["a"], start);
     assert!(!one.cut_off_for(start + AFTER).is_zero());
-    let two = judged(&placement, &["a", "b"], start);
+    let two = health_after(&placement, &["a", "b"], start);
     assert_eq!(two.cut_off_for(start + AFTER), Duration::ZERO);
 }
 
 #[test]
-fn domain_is_doubtful_when_all_of_its_keepers_are_silent() {
+fn domain_is_unresponsive_when_none_of_its_keepers_replies() {
     let start = Instant::now();
     let placement = placement();
-    let health = judged(&placement, &["b", "c"], start);
-    let spoke = placement.slots[0].name.clone();
+    let health = health_after(&placement, &["b", "c"], start);
+    let responsive = placement.slots[0].name.clone();
     assert_eq!(health.silent_domains(&placement, start + AFTER), ["a", "d"]);
-    health.note(&spoke, start + AFTER);
+    health.record_reply(&responsive, start + AFTER);
     assert_eq!(health.silent_domains(&placement, start + AFTER), ["d"]);
 }
 
 #[test]
-fn keepers_that_a_helper_reaches_are_within_reach_as_long_as_the_helper_hears_them() {
+fn keepers_that_a_helper_reaches_count_as_reachable() {
     let start = Instant::now();
     let placement = placement();
-    let health = judged(&placement, &["a"], start);
+    let health = health_after(&placement, &["a"], start);
     let now = start + AFTER;
     assert!(health.needs_helpers(&placement, now));
     for slot in &placement.slots {
-        health.note_indirect(&slot.name, now);
+        health.record_indirect_reply(&slot.name, now);
     }
-    health.judge(&placement, now);
+    health.update_cut_off(&placement, now);
     assert_eq!(health.cut_off_for(now), Duration::ZERO);
-    assert!(health.needs_helpers(&placement, now), "none is straight");
+    assert!(
+        health.needs_helpers(&placement, now),
+        "no keeper is directly reachable"
+    );
 }
 
 #[test]
-fn a_helper_that_has_not_noticed_a_cut_does_not_make_it_look_shorter() {
+fn helper_that_has_not_noticed_a_partition_does_not_hide_it() {
     let start = Instant::now();
     let placement = placement();
-    let health = judged(&placement, &["a"], start);
+    let health = health_after(&placement, &["a"], start);
     let now = start + AFTER;
-    let heard = now.checked_sub(Duration::from_millis(400)).unwrap_or(now);
+    let last_reply = now.checked_sub(Duration::from_millis(400)).unwrap_or(now);
     for slot in &placement.slots {
-        health.note_indirect(&slot.name, heard);
+        health.record_indirect_reply(&slot.name, last_reply);
     }
     let later = now + Duration::from_millis(100);
-    health.judge(&placement, later);
+    health.update_cut_off(&placement, later);
     assert!(!health.cut_off_for(later).is_zero());
 }
--- a/crates/samphiregrade-gateway/tests/suite/keepers.rs
+++ b/crates/samphiregrade-gateway/tests/suite/keepers.rs
@@ -1,4 +1,4 @@
-//! Keepers and their client over real links and disks.
+//! Tests of keepers and their client over real links and disks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 
 use crate::facts::turn;
 
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Keeper {
     service: KeeperService,
@@ -72,7 +72,7 @@
         )
     }
 
-    /// Stores a fact on some keepers only, as a write that did not reach the others.
+    /// Stores a fact on some keepers only, like a write that did not reach the others.
     async fn store_on(&self, indices: &[usize], fact: &FactRecord) {
         for &index in indices {
             let answer = self.keepers[index]
@@ -89,7 +89,7 @@
     }
 }
 
-/// Describes a client that helps nobody.
+/// Returns the address of a client that is never used as a helper.
 fn own_address(domain: &str) -> HelperAddress {
     HelperAddress {
         name: "client".into(),
@@ -150,7 +150,7 @@
 }
 
 #[tokio::test]
-async fn chain_is_found_though_no_keeper_has_all_of_it() {
+async fn chain_is_found_although_no_keeper_has_all_of_it() {
     let deployment = Deployment::start().await;
     let first = turn("t1", None, b"in1 ", b"out1\n");
     let second = turn("t2", Some("t1"), b"in2 ", b"out2\n");
@@ -158,32 +158,32 @@
     deployment.store_on(&[0, 2], &first).await;
     deployment.store_on(&[0, 1], &second).await;
     deployment.store_on(&[1, 2], &third).await;
-    let whole = Bytes::from_static(b"in1 out1\nin2 out2\nin3 out3\n");
+    let complete_chain = Bytes::from_static(b"in1 out1\nin2 out2\nin3 out3\n");
     for domain in ["a", "b", "c"] {
         let client = deployment.client(domain);
         let found = client.chain(&"p".into(), &"t3".into()).await;
         assert_eq!(
             found,
-            Ok(ChainLookup::Found(whole.clone())),
+            Ok(ChainLookup::Found(complete_chain.clone())),
             "asked from {domain}"
         );
     }
 }
 
 #[tokio::test]
-async fn absence_is_certain_only_while_complete_keepers_say_so() {
+async fn absence_requires_a_quorum_of_complete_keepers() {
     let deployment = Deployment::start().await;
     let client = deployment.client("a");
     let missing = client.chain(&"p".into(), &"none".into()).await;
     assert_eq!(missing, Ok(ChainLookup::Absent));
     deployment.keepers[0].service.set_complete(false).await;
     deployment.keepers[1].service.set_complete(false).await;
-    let unsure = client.chain(&"p".into(), &"none".into()).await;
-    assert_eq!(unsure, Err(FactFailure::NoMajority));
+    let uncertain = client.chain(&"p".into(), &"none".into()).await;
+    assert_eq!(uncertain, Err(FactFailure::NoMajority));
 }
 
 #[tokio::test]
-async fn budget_is_decided_with_what_any_majority_knows() {
+async fn budget_decision_includes_reservations_of_every_majority() {
     let deployment = Deployment::start().await;
     deployment.store_on(&[0, 1], &reservation("t1", 60)).await;
     let client = deployment.client("c");
@@ -209,15 +209,15 @@
 }
 
 #[tokio::test]
-async fn keeper_that_lost_its_disk_reads_the_others_before_it_says_no() {
+async fn keeper_that_lost_its_disk_is_complete_only_after_a_rebuild() {
     let mut deployment = Deployment::start().await;
     let fact = turn("t1", None, b"in1 ", b"out1\n");
     deployment.store_on(&[0, 1], &fact).await;
-    let wiped = start_keeper(&deployment.authority, "a", false).await;
+    let replacement = start_keeper(&deployment.authority, "a", false).await;
     deployment.placement = deployment
         .placement
-        .with_slot_holder(0, "a", wiped.slot.address);
-    deployment.keepers[0] = wiped;
+        .with_slot_holder(0, "a", replacement.slot.address);
+    deployment.keepers[0] = replacement;
     for keeper in &deployment.keepers {
         keeper
             .service
@@ -228,7 +228,7 @@
     assert!(!service.is_complete());
     let links = deployment.links();
     let rebuilding = rebuild_from_others(service, &links, "a");
-    tokio::time::timeout(PATIENCE, rebuilding)
+    tokio::time::timeout(TEST_TIMEOUT, rebuilding)
         .await
         .expect("a rebuilt keeper");
     assert!(service.is_complete());
@@ -240,13 +240,13 @@
     );
 }
 
-// Guards against an entry that hears of newer configurations only with some kinds of answers, and keeps an old one while
-// its requests ask for others.
+// Guards against an entry that receives newer revisions only with some kinds of replies, and keeps an old configuration
+// while its requests are of other kinds.
 #[tokio::test]
-async fn each_answer_tells_how_far_its_keeper_knows_the_service() {
+async fn every_reply_carries_the_keepers_revision() {
     let deployment = Deployment::start().await;
     let client = deployment.client("a");
-    let learn = |revision: u64| {
+    let set_revision = |revision: u64| {
         let page = StorePage {
             revision,
             ..StorePage::default()
@@ -254,20 +254,26 @@
         let mirror = deployment.keepers[0].service.mirror();
         mirror.take(&FollowEvent::All(page), Instant::now());
     };
-    learn(3);
+    set_revision(3);
     let program = "p".into();
     let stored = client.store(&program, turn("t1", None, b"in", b"out"));
     stored.await.expect("a stored turn");
-    eventually("a stored fact tells", async || client.lag().newest().0 == 3).await;
-    learn(5);
+    eventually("a revision with a stored fact", async || {
+        client.lag().newest().0 == 3
+    })
+    .await;
+    set_revision(5);
     let chain = client.chain(&program, &"t1".into()).await;
     assert!(matches!(chain, Ok(ChainLookup::Found(_))), "{chain:?}");
-    eventually("a chain tells", async || client.lag().newest().0 == 5).await;
+    eventually("a revision with a chain", async || {
+        client.lag().newest().0 == 5
+    })
+    .await;
     assert_eq!(client.lag().newest().1, "a");
 }
 
 #[tokio::test]
-async fn old_placement_is_refused_and_the_newer_one_learnt() {
+async fn old_placement_is_rejected_and_the_newer_one_adopted() {
     let deployment = Deployment::start().await;
     let newer = deployment
         .placement
@@ -284,20 +290,20 @@
             request: KeeperRequest::Store(fact.clone()),
         };
         let reply = keeper.service.answer(envelope).await.reply;
-        assert!(matches!(reply, KeeperReply::NewerPlacement(told) if told == newer));
+        assert!(matches!(reply, KeeperReply::NewerPlacement(reported) if reported == newer));
         let chain =
             KeeperEnvelope::between_keepers(newer.generation, KeeperRequest::Chain("t1".into()));
         let reply = keeper.service.answer(chain).await.reply;
         assert!(matches!(reply, KeeperReply::Chain(ChainAnswer::Absent)));
     }
-    // The turn has run by then: its answer isn't broken off since a slot has changed hands.
+    // The turn has run already, so the response must not be aborted because a slot was reassigned.
     let client = deployment.client("a");
     assert_eq!(client.store(&"p".into(), fact).await, Ok(()));
     assert_eq!(client.placement().generation, newer.generation);
 }
 
 #[tokio::test]
-async fn turn_that_comes_with_an_old_placement_goes_on_under_the_newer_one() {
+async fn request_under_an_old_placement_is_repeated_under_the_newer_one() {
     let deployment = Deployment::start().await;
     let first = turn("t1", None, b"in1 ", b"out1\n");
     deployment.store_on(&[0, 1, 2], &first).await;
@@ -312,18 +318,18 @@
         .reserve(&"p".into(), reservation("t2", 10), 100, &"t2".into(), 10)
         .await;
     assert!(matches!(held, Ok(ReserveOutcome::Reserved(_))));
-    let asking = deployment.client("a");
-    let found = asking.chain(&"p".into(), &"t1".into()).await;
+    let reading = deployment.client("a");
+    let found = reading.chain(&"p".into(), &"t1".into()).await;
     assert_eq!(
         found,
         Ok(ChainLookup::Found(Bytes::from_static(b"in1 out1\n")))
     );
 }
 
-/// A turn that was confirmed under a newer placement is known to one keeper of the older one only: whoever still asks
-/// under that must not take the word of the two others for all.
+/// A turn acknowledged under a newer placement may be known to only one keeper of the older one: a reader under the
+/// older placement must not conclude from the two other replies that the turn is absent.
 #[tokio::test]
-async fn turn_that_only_the_last_keeper_knows_is_not_denied_while_a_slot_changes_hands() {
+async fn turn_known_to_one_keeper_is_found_while_a_slot_is_reassigned() {
     let deployment = Deployment::start().await;
     deployment
         .store_on(&[1], &turn("t1", None, b"in1 ", b"out1\n"))
@@ -340,7 +346,7 @@
     );
 }
 
-/// A relay that closes the first connections and passes the others on: a process that has ended and is there again.
+/// Starts a relay that closes the first connections and forwards the others, like a process that restarts.
 async fn restarting_relay(target: SocketAddr, closed: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -356,7 +362,7 @@
                 let Ok(mut outer) = TcpStream::connect(target).await else {
                     return;
                 };
-                // Either side may end it.
+                // Either side may close the connection.
                 let _ = tokio::io::copy_bidirectional(&mut inner, &mut outer).await;
             });
         }
@@ -365,7 +371,7 @@
 }
 
 #[tokio::test]
-async fn question_whose_connection_fails_is_asked_again_while_its_asker_waits() {
+async fn request_is_retried_after_a_connection_failure() {
     let mut deployment = Deployment::start().await;
     for slot in &mut deployment.placement.slots {
         slot.address = restarting_relay(slot.address, 1).await;
@@ -381,10 +387,10 @@
 }
 
 #[tokio::test]
-async fn turn_that_has_run_waits_for_keepers_that_are_away_for_a_moment() {
+async fn store_waits_for_keepers_that_are_briefly_unavailable() {
     let mut deployment = Deployment::start().await;
     for slot in &mut deployment.placement.slots {
-        // Connections are tried about ten times in a second.
+        // A link tries to connect about ten times per second.
         slot.address = restarting_relay(slot.address, 7).await;
     }
     let client = deployment.client("a");
@@ -392,29 +398,28 @@
     assert_eq!(client.store(&"p".into(), fact).await, Ok(()));
 }
 
-/// Turns that had run were broken off as not durable while a slot changed hands: an entry that had just started knew the
-/// newer placement before the keepers did, and they refused everything under the older one without being able to tell
-/// the newer.
+/// Guards against turns aborted as not durable while a slot is reassigned: an entry that had just started knew the
+/// newer placement before the keepers did, and the keepers then rejected all requests under the older placement without
+/// being able to return the newer one.
 #[tokio::test]
-async fn entry_that_knows_a_newer_placement_first_stops_nobody_else() {
+async fn entry_that_knows_a_newer_placement_first_does_not_block_others() {
     let deployment = Deployment::start().await;
-    let early = deployment.client("a");
-    early.adopt(
+    let ahead = deployment.client("a");
+    ahead.adopt(
         &deployment
             .placement
             .with_slot_holder(0, "a", deployment.keepers[0].slot.address),
     );
     let others = deployment.client("b");
-    let early_fact = turn("t1", None, b"in", b"out");
-    assert_eq!(early.store(&"p".into(), early_fact).await, Ok(()));
+    let ahead_fact = turn("t1", None, b"in", b"out");
+    assert_eq!(ahead.store(&"p".into(), ahead_fact).await, Ok(()));
     let fact = turn("t2", None, b"in", b"out");
     assert_eq!(others.store(&"p".into(), fact).await, Ok(()));
 }
 
-/// What the instance that takes over a slot has read must be all that was confirmed under the placement before.
+/// An instance that takes over a slot must have read every fact that was acknowledged under the previous placement.
 #[tokio::test]
-async fn keeper_that_was_read_under_a_newer_placement_takes_nothing_under_the_older_one_and_tells_it()
- {
+async fn keeper_that_was_read_under_a_newer_placement_rejects_the_older_one() {
     let mut deployment = Deployment::start().await;
     let successor = start_keeper(&deployment.authority, "d", false).await;
     let newer = deployment
@@ -423,7 +428,7 @@
     successor.service.adopt_placement(newer.clone()).await;
     let links = deployment.links();
     let rebuilding = rebuild_from_others(&successor.service, &links, "d");
-    tokio::time::timeout(PATIENCE, rebuilding)
+    tokio::time::timeout(TEST_TIMEOUT, rebuilding)
         .await
         .expect("a rebuilt keeper");
     for keeper in &deployment.keepers[1..] {
@@ -436,7 +441,7 @@
             .await
             .reply;
         assert!(
-            matches!(&reply, KeeperReply::NewerPlacement(told) if *told == newer),
+            matches!(&reply, KeeperReply::NewerPlacement(reported) if *reported == newer),
             "{reply:?}"
         );
     }
@@ -444,7 +449,7 @@
 }
 
 #[tokio::test]
-async fn failed_write_is_told_before_its_further_tries() {
+async fn failed_write_is_reported_before_its_background_retries() {
     let authority = make_authority().expect("an authority");
     let mut slots = Vec::new();
     for name in ["a", "b", "c"] {
@@ -473,11 +478,11 @@
         })
         .and_then(|line| line.rsplit(' ').next()?.parse::<f64>().ok())
         .expect("a count");
-    // Each of three keepers is tried four times in all; the caller is not kept waiting for that.
+    // Each of the three keepers is tried four times in total; the failure is returned before that.
     assert!(failed < 12.0, "{failed} calls had failed");
 }
 
-/// Upstreams that a test asks about; each is accounted for by two of three keepers.
+/// Upstreams whose accounts the tests query; two of three keepers hold each account.
 const UPSTREAMS: [u64; 6] = [11, 22, 33, 44, 55, 66];
 
 fn run_start(upstream: u64) -> RunStart {
@@ -487,41 +492,44 @@
         service: "engines".into(),
         prompt: Vec::new(),
         capacity: 100_000,
-        lasts: PATIENCE,
+        lasts: TEST_TIMEOUT,
     }
 }
 
-/// Looks again and again until something holds.
-pub async fn eventually<Look>(what: &str, mut look: Look)
+/// Waits until a condition holds.
+pub async fn eventually<Condition>(what: &str, mut condition: Condition)
 where
-    Look: AsyncFnMut() -> bool,
+    Condition: AsyncFnMut() -> bool,
 {
     let waiting = async {
-        while !look().await {
+        while !condition().await {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, waiting).await.expect(what);
+    tokio::time::timeout(TEST_TIMEOUT, waiting)
+        .await
+        .expect(what);
 }
 
-/// Asks until all upstreams have been told of with as many runs each, and fails where that takes too long.
+/// Waits until the accounts of all upstreams report the given number of runs each.
 async fn expect_running(client: &KeeperClient, running: u32) {
-    let question = AccountQuery {
+    let query = AccountQuery {
         service: "engines".into(),
         upstreams: UPSTREAMS.to_vec(),
         prompt: Vec::new(),
     };
     eventually("accounts of all upstreams", async || {
-        let accounts = client.query_accounts(&question, PATIENCE).await;
-        let told = |tag: u64| accounts.iter().find(|account| account.upstream == tag);
-        let met = |tag: &u64| told(*tag).is_some_and(|account| account.running == running);
-        UPSTREAMS.iter().all(met)
+        let accounts = client.query_accounts(&query, TEST_TIMEOUT).await;
+        let reported = |tag: u64| accounts.iter().find(|account| account.upstream == tag);
+        let matches_count =
+            |tag: &u64| reported(*tag).is_some_and(|account| account.running == running);
+        UPSTREAMS.iter().all(matches_count)
     })
     .await;
 }
 
 #[tokio::test]
-async fn what_one_entry_sends_is_known_to_another() {
+async fn runs_of_one_entry_are_visible_to_another() {
     let deployment = Deployment::start().await;
     let (sending, placing) = (deployment.client("a"), deployment.client("b"));
     for upstream in UPSTREAMS {
@@ -540,15 +548,15 @@
 #[tokio::test]
 async fn accounts_survive_a_lost_keeper() {
     let mut deployment = Deployment::start().await;
-    // Nobody listens at the address of the first keeper.
+    // Nothing listens at the address of the first keeper.
     deployment.placement.slots[0].address = free_address().await;
-    // Both would ask it first, since it stands in their failure domain.
+    // Both clients would query this keeper first, because it is in their failure domain.
     let (sending, placing) = (deployment.client("a"), deployment.client("a"));
     for client in [&sending, &placing] {
         tokio::spawn(client.clone().watch_health(CancellationToken::new()));
     }
-    // Keepers count as within reach until they have been silent for a while; starts are told again until then.
-    let telling = async {
+    // A keeper counts as reachable until it hasn't replied for a while; the starts are reported repeatedly until then.
+    let reporting = async {
         loop {
             for upstream in UPSTREAMS {
                 sending.report_run_start(run_start(upstream));
@@ -557,7 +565,7 @@
         }
     };
     tokio::select! {
-        () = telling => {}
+        () = reporting => {}
         () = expect_running(&placing, 1) => {}
     }
 }
--- a/crates/samphiregrade-gateway/tests/suite/keepers_model.rs
+++ b/crates/samphiregrade-gateway/tests/suite/keepers_model.rs
@@ -1,8 +1,8 @@
-//! A model of the keepers: random writes that reach some, lost disks, rebuilds and readers.
+//! Model test of the keepers: random partial writes, lost disks, rebuilds and reads.
 //!
-//! It runs the product's own placement arithmetic and book. What must hold: a turn that was acknowledged is
-//! never said not to exist, and a ledger that decides knows every reservation that was acknowledged, as long
-//! as no more disks are lost at once than the placement bears.
+//! The model uses the product's placement arithmetic and fact index. Invariants, as long as no more disks are lost at
+//! once than the placement tolerates: an acknowledged turn is never reported as absent, and a ledger on which a
+//! decision is based includes every acknowledged reservation.
 
 use std::time::{Duration, Instant};
 
@@ -15,15 +15,15 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A turn is written; the bits tell which keepers it reaches.
+    /// A turn is written; the bits select the keepers that it reaches.
     Write(u8),
-    /// A reservation is written; the bits tell which keepers it reaches.
+    /// A reservation is written; the bits select the keepers that it reaches.
     Reserve(u8),
-    /// A keeper loses its disk, where that may be borne now.
+    /// A keeper loses its disk, if one more loss is tolerated.
     Wipe(u8),
-    /// A keeper without its disk reads the others within reach.
+    /// A keeper that lost its disk reads the other reachable keepers, selected by the bits.
     Rebuild(u8, u8),
-    /// A reader asks the keepers within reach for all turns.
+    /// A reader queries the reachable keepers, selected by the bits, for all acknowledged facts.
     Read(u8),
 }
 
@@ -41,7 +41,7 @@
 }
 
 struct Keeper {
-    book: FactIndex,
+    facts: FactIndex,
     complete: bool,
 }
 
@@ -68,7 +68,7 @@
         });
         let placement = KeeperPlacement::first(slots.collect(), tolerated_losses);
         let keepers = placement.slots.iter().map(|_| Keeper {
-            book: FactIndex::default(),
+            facts: FactIndex::default(),
             complete: true,
         });
         Self {
@@ -84,7 +84,7 @@
         let mut stored = 0;
         for (index, keeper) in self.keepers.iter_mut().enumerate() {
             if reaches(bits, index) {
-                keeper.book.take(&fact, self.now);
+                keeper.facts.insert(&fact, self.now);
                 stored += 1;
             }
         }
@@ -118,7 +118,7 @@
             }
             Step::Wipe(which) => self.wipe(which),
             Step::Rebuild(which, bits) => self.rebuild(which, bits),
-            Step::Read(bits) => return self.reads_well(bits),
+            Step::Read(bits) => return self.reads_are_correct(bits),
         }
         true
     }
@@ -134,7 +134,7 @@
         }
         let index = usize::from(which) % self.keepers.len();
         self.keepers[index] = Keeper {
-            book: FactIndex::default(),
+            facts: FactIndex::default(),
             complete: false,
         };
     }
@@ -149,8 +149,8 @@
             .collect();
         for &source in &sources {
             for part in 0..=u8::MAX {
-                for fact in export_all(&self.keepers[source].book, part).facts {
-                    self.keepers[index].book.take(&fact, self.now);
+                for fact in export_all(&self.keepers[source].facts, part).facts {
+                    self.keepers[index].facts.insert(&fact, self.now);
                 }
             }
         }
@@ -159,35 +159,35 @@
         }
     }
 
-    fn reads_well(&mut self, bits: u8) -> bool {
-        let asked: Vec<usize> = (0..self.keepers.len())
+    fn reads_are_correct(&mut self, bits: u8) -> bool {
+        let queried: Vec<usize> = (0..self.keepers.len())
             .filter(|&index| reaches(bits, index))
             .collect();
-        let complete = asked
+        let complete = queried
             .iter()
             .filter(|&&index| self.keepers[index].complete)
             .count();
         for fact in self.acknowledged.clone() {
-            let known = asked.iter().any(|&index| match &fact {
+            let known = queried.iter().any(|&index| match &fact {
                 FactRecord::Turn(turn) => self.keepers[index]
-                    .book
+                    .facts
                     .chain(&turn.turn, self.now)
                     .is_some(),
                 FactRecord::Reservation { reservation, .. } => {
-                    let ledger = self.keepers[index].book.ledger("p");
+                    let ledger = self.keepers[index].facts.ledger("p");
                     ledger
                         .reservations
                         .iter()
                         .any(|known| known.turn == reservation.turn)
                 }
-                FactRecord::LimitUses { .. } => unreachable!("homes alone write these"),
+                FactRecord::LimitUses { .. } => unreachable!("only homes write limit uses"),
             });
-            let enough = match &fact {
-                FactRecord::Turn(_) => self.placement.meets_majorities_anywhere(),
-                FactRecord::Reservation { .. } => self.placement.meets_majorities(),
-                FactRecord::LimitUses { .. } => unreachable!("homes alone write these"),
+            let quorum = match &fact {
+                FactRecord::Turn(_) => self.placement.global_read_quorum(),
+                FactRecord::Reservation { .. } => self.placement.read_quorum(),
+                FactRecord::LimitUses { .. } => unreachable!("only homes write limit uses"),
             };
-            if !known && complete >= enough {
+            if !known && complete >= quorum {
                 return false;
             }
         }
@@ -196,13 +196,13 @@
 }
 
 quickcheck! {
-    fn nothing_acknowledged_is_denied_with_three_keepers(steps: Vec<Step>) -> bool {
+    fn acknowledged_facts_are_found_with_three_keepers(steps: Vec<Step>) -> bool {
         let mut world = World::new(1);
-        steps.into_iter().all(|step| world.step(step)) && world.reads_well(u8::MAX)
+        steps.into_iter().all(|step| world.step(step)) && world.reads_are_correct(u8::MAX)
     }
 
-    fn nothing_acknowledged_is_denied_with_five_keepers(steps: Vec<Step>) -> bool {
+    fn acknowledged_facts_are_found_with_five_keepers(steps: Vec<Step>) -> bool {
         let mut world = World::new(2);
-        steps.into_iter().all(|step| world.step(step)) && world.reads_well(u8::MAX)
+        steps.into_iter().all(|step| world.step(step)) && world.reads_are_correct(u8::MAX)
     }
 }
--- a/crates/samphiregrade-gateway/tests/suite/mirror.rs
+++ b/crates/samphiregrade-gateway/tests/suite/mirror.rs
@@ -1,4 +1,4 @@
-//! What keepers tell of the key-value service, over interleavings of watchers, lost streams and dropped history.
+//! Model test of the mirrors that keepers serve: interleavings of watches, outages, restarts and dropped history.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -20,17 +20,17 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// Somebody writes a key.
+    /// A key is written.
     Write(u8),
-    /// Somebody removes a key.
+    /// A key is removed.
     Remove(u8),
-    /// A watcher hears of all changes up to now.
+    /// A watching keeper receives all changes up to now.
     Watch(u8),
-    /// A watcher has lost the service, and reads everything again.
+    /// A watching keeper has lost the service, and reads all keys again.
     ReadAgain(u8),
-    /// A keeper starts again and knows nothing.
+    /// A keeper restarts without data.
     Restart(u8),
-    /// A follower asks a keeper.
+    /// A follower sends a request to a keeper.
     Follow(u8, u8),
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// The service, with everything that it ever was.
+/// Model of the service with all its past states.
 struct ModelService {
     revision: StoreRevision,
     history: Vec<StoreItem>,
@@ -146,7 +146,7 @@
     }
 }
 
-fn ask(mirror: &StoreMirror, position: Option<StoreRevision>) -> StreamReply {
+fn request_changes(mirror: &StoreMirror, position: Option<StoreRevision>) -> StreamReply {
     let request = StreamRequest {
         position,
         hold: Duration::ZERO,
@@ -158,9 +158,9 @@
     runtime.block_on(mirror.answer(request))
 }
 
-/// Plays the steps; returns whether each follower has always known the service as it was at its position, and never
-/// went back.
-fn holds(steps: &[Step]) -> bool {
+/// Runs the steps; returns whether each follower's data always equalled the service's state at the follower's position,
+/// and no position ever decreased.
+fn invariants_hold(steps: &[Step]) -> bool {
     let now = Instant::now();
     let mut service = ModelService::new();
     let mut mirrors: Vec<StoreMirror> = (0..WATCHERS).map(|_| StoreMirror::default()).collect();
@@ -172,8 +172,8 @@
             Step::Remove(key) => service.change(key, StoreValue::Removed),
             Step::Watch(watcher) => {
                 let mirror = &mirrors[usize::from(watcher)];
-                // A watch goes on from a read only.
-                let event = if matches!(ask(mirror, None).part, StreamPart::Unread) {
+                // A watch starts only after a read.
+                let event = if matches!(request_changes(mirror, None).part, StreamPart::Unread) {
                     FollowEvent::All(service.all())
                 } else {
                     FollowEvent::Changes(service.changes(mirror.revision()))
@@ -189,10 +189,13 @@
             Step::Restart(watcher) => mirrors[usize::from(watcher)] = StoreMirror::default(),
             Step::Follow(follower, watcher) => {
                 let follower = &mut followers[usize::from(follower)];
-                let before = follower.position;
-                follower.take(&ask(&mirrors[usize::from(watcher)], before));
-                let true_keys = service.at(follower.position.unwrap_or(0));
-                if follower.position < before || follower.keys != *true_keys {
+                let previous_position = follower.position;
+                follower.take(&request_changes(
+                    &mirrors[usize::from(watcher)],
+                    previous_position,
+                ));
+                let expected_keys = service.at(follower.position.unwrap_or(0));
+                if follower.position < previous_position || follower.keys != *expected_keys {
                     return false;
                 }
             }
@@ -202,15 +205,15 @@
 }
 
 quickcheck! {
-    fn followers_know_the_service_as_it_was_and_never_go_back(steps: Vec<Step>) -> bool {
-        holds(&steps)
+    fn followers_have_consistent_data_and_never_go_back(steps: Vec<Step>) -> bool {
+        invariants_hold(&steps)
     }
 }
 
 #[test]
-fn a_long_play_holds() {
+fn followers_are_consistent_over_a_long_run() {
     let mut source = Gen::new(3000);
-    assert!(holds(&Vec::<Step>::arbitrary(&mut source)));
+    assert!(invariants_hold(&Vec::<Step>::arbitrary(&mut source)));
 }
 
 fn page(at: StoreRevision, items: &[(u64, StoreRevision)]) -> StorePage {
@@ -229,7 +232,7 @@
 }
 
 #[test]
-fn who_has_missed_more_than_is_kept_takes_everything_anew() {
+fn follower_that_missed_too_many_changes_receives_all_keys() {
     let now = Instant::now();
     let mirror = StoreMirror::default();
     mirror.take(&FollowEvent::All(page(1, &[(0, 1)])), now);
@@ -237,29 +240,32 @@
         let change = FollowEvent::Changes(page(revision, &[(revision % 7, revision)]));
         mirror.take(&change, now);
     }
-    assert!(matches!(ask(&mirror, Some(1)).part, StreamPart::All(_)));
-    let StreamPart::Changes(newer) = ask(&mirror, Some(2990)).part else {
+    assert!(matches!(
+        request_changes(&mirror, Some(1)).part,
+        StreamPart::All(_)
+    ));
+    let StreamPart::Changes(newer) = request_changes(&mirror, Some(2990)).part else {
         panic!("changes are kept");
     };
     assert_eq!(newer.items.len(), 9);
 }
 
 #[test]
-fn a_keeper_that_has_lost_the_service_says_so_at_once() {
+fn keeper_that_lost_the_service_reports_it_at_once() {
     let now = Instant::now();
     let mirror = StoreMirror::default();
-    assert_eq!(ask(&mirror, None).part, StreamPart::Unread);
+    assert_eq!(request_changes(&mirror, None).part, StreamPart::Unread);
     mirror.take(&FollowEvent::All(page(5, &[(0, 5)])), now);
     mirror.take(&FollowEvent::Disconnected, now);
-    let reply = ask(&mirror, Some(5));
+    let reply = request_changes(&mirror, Some(5));
     assert_eq!((reply.lost, reply.part), (true, StreamPart::Nothing(5)));
     mirror.take(&FollowEvent::Reconnected(Duration::ZERO), now);
-    let reply = ask(&mirror, Some(5));
+    let reply = request_changes(&mirror, Some(5));
     assert_eq!((reply.lost, reply.returns), (false, 1));
 }
 
 #[tokio::test]
-async fn a_change_is_told_to_one_who_waits() {
+async fn held_request_returns_a_change() {
     let mirror = StoreMirror::default();
     mirror.take(&FollowEvent::All(page(5, &[(0, 5)])), Instant::now());
     let request = StreamRequest {
