--- a/crates/samphiregrade-gateway/src/exchange/dispatch.rs
+++ b/crates/samphiregrade-gateway/src/exchange/dispatch.rs
@@ -156,15 +156,15 @@
         .filter(|upstream| upstream.takes_requests())
         .filter(|upstream| !tried.iter().any(|other| Arc::ptr_eq(other, upstream)))
         .collect();
-    let trusted: Vec<&Arc<Upstream>> = eligible
+    let healthy: Vec<&Arc<Upstream>> = eligible
         .iter()
         .copied()
         .filter(|upstream| upstream.is_breaker_closed(now))
         .collect();
-    if trusted.is_empty() {
+    if healthy.is_empty() {
         eligible
     } else {
-        trusted
+        healthy
     }
 }
 
--- a/crates/samphiregrade-gateway/src/exchange/events.rs
+++ b/crates/samphiregrade-gateway/src/exchange/events.rs
@@ -75,7 +75,7 @@
         self.events
     }
 
-    /// Returns the number of events that have begun, including an incomplete last one.
+    /// Returns the number of events that have started, including an incomplete last one.
     #[must_use]
     pub fn started_events(&self) -> u32 {
         let partial = self.has_data || !self.line.is_empty();
--- a/crates/samphiregrade-gateway/src/exchange/limit_desk.rs
+++ b/crates/samphiregrade-gateway/src/exchange/limit_desk.rs
@@ -145,7 +145,7 @@
 pub(super) struct TokenDemand {
     pub(super) organisation: OrganisationTag,
     pub(super) limit: WindowLimit,
-    /// Whether the request begins a program.
+    /// Whether the request starts a program.
     pub(super) starts_program: bool,
     /// Whether tokens are also prefetched.
     pub(super) prefetch: bool,
@@ -192,7 +192,7 @@
     Prefetched,
     /// A home granted the token for this request.
     Home,
-    /// No home responded; the entry admitted the request standalone.
+    /// No home replied; the entry admitted the request standalone.
     Standalone,
 }
 
--- a/crates/samphiregrade-gateway/src/exchange/refusal.rs
+++ b/crates/samphiregrade-gateway/src/exchange/refusal.rs
@@ -143,7 +143,7 @@
     }
 }
 
-/// A refusal with the details that are sent to the client.
+/// A refusal with the details sent to the client.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
     /// Reason of the refusal.
--- a/crates/samphiregrade-gateway/src/routing.rs
+++ b/crates/samphiregrade-gateway/src/routing.rs
@@ -99,10 +99,10 @@
             return UrgencyClass::default();
         };
         let index = known.partition_point(|&other| other < priority);
-        let small = |number| u8::try_from(number).unwrap_or(u8::MAX);
+        let saturated = |number| u8::try_from(number).unwrap_or(u8::MAX);
         UrgencyClass {
-            index: small(index),
-            count: small(known.len()),
+            index: saturated(index),
+            count: saturated(known.len()),
         }
     }
 
@@ -127,7 +127,7 @@
     routes: &[RouteRecord],
     organisations: &[OrganisationRecord],
 ) -> HashMap<ServiceName, Vec<u8>> {
-    let own: Vec<u8> = organisations
+    let organisation_priorities: Vec<u8> = organisations
         .iter()
         .filter_map(|organisation| organisation.priority)
         .collect();
@@ -136,7 +136,7 @@
         for share in &route.shares {
             let known = priorities.entry(share.service.clone()).or_default();
             known.push(route.priority);
-            known.extend(&own);
+            known.extend(&organisation_priorities);
         }
     }
     for known in priorities.values_mut() {
--- a/crates/samphiregrade-gateway/tests/suite/hot_organisation.rs
+++ b/crates/samphiregrade-gateway/tests/suite/hot_organisation.rs
@@ -31,7 +31,7 @@
 const HOT_FACTOR: usize = 8;
 
 /// Minimum ratio of an organisation's served share with a hot organisation to its served share without one.
-const LEAST_SHARE: f64 = 0.98;
+const MIN_SHARE: f64 = 0.98;
 
 const HOT: usize = 0;
 
@@ -64,13 +64,13 @@
     }
 
     /// Simulates one request; returns whether it was served.
-    fn request(&mut self, organisation: usize, begins: bool) -> bool {
+    fn request(&mut self, organisation: usize, starts_program: bool) -> bool {
         self.counts[organisation].requests += 1;
         let entry = (self.counts[organisation].requests + organisation) % ENTRIES;
         let now = BootTime::since_start(self.now);
         let allowance = &mut self.allowances[entry][organisation];
-        let mut passes = allowance.take(begins, now, WINDOW);
-        if !passes {
+        let mut admitted = allowance.take(starts_program, now, WINDOW);
+        if !admitted {
             let source = EntrySource {
                 instance: entry as u64 + 1,
                 life: entry as u64 + 1000,
@@ -82,14 +82,15 @@
                 requests: LIMIT,
             };
             allowance.begin_waiting();
-            let ask = allowance.compose_request(organisation as u64, &source, limit, begins, now);
-            let grant = self.ledger.answer(&ask, self.now);
+            let request =
+                allowance.compose_request(organisation as u64, &source, limit, starts_program, now);
+            let grant = self.ledger.answer(&request, self.now);
             allowance.accept(&grant, now, now);
             allowance.end_waiting();
-            passes = allowance.take(begins, now, WINDOW);
+            admitted = allowance.take(starts_program, now, WINDOW);
         }
-        self.counts[organisation].served += usize::from(passes);
-        passes
+        self.counts[organisation].served += usize::from(admitted);
+        admitted
     }
 
     fn begin_program(&mut self, organisation: usize, size: usize) {
@@ -101,11 +102,11 @@
     /// Simulates the next request of each running program.
     fn continue_programs(&mut self) {
         for _ in 0..self.programs.len() {
-            let Some((organisation, left)) = self.programs.pop_front() else {
+            let Some((organisation, remaining)) = self.programs.pop_front() else {
                 return;
             };
-            if left > 0 && self.request(organisation, false) {
-                self.programs.push_back((organisation, left - 1));
+            if remaining > 0 && self.request(organisation, false) {
+                self.programs.push_back((organisation, remaining - 1));
             }
         }
     }
@@ -141,19 +142,22 @@
 }
 
 fn assert_others_unaffected(hot_size: usize) {
-    let usual = simulate(1, PROGRAM_SIZE);
-    let beside = simulate(HOT_FACTOR, hot_size);
+    let baseline = simulate(1, PROGRAM_SIZE);
+    let contended = simulate(HOT_FACTOR, hot_size);
     assert!(
-        share(beside[HOT]) < 0.9,
+        share(contended[HOT]) < 0.9,
         "the hot organisation should be over its limit"
     );
     for organisation in 0..ORGANISATIONS {
         if organisation == HOT {
             continue;
         }
-        let (before, after) = (share(usual[organisation]), share(beside[organisation]));
+        let (before, after) = (
+            share(baseline[organisation]),
+            share(contended[organisation]),
+        );
         assert!(
-            after >= before * LEAST_SHARE,
+            after >= before * MIN_SHARE,
             "organisation {organisation}: served share {after:.3} instead of {before:.3}"
         );
     }
