--- a/crates/samphiregrade-gateway/src/limits/allowance.rs
+++ b/crates/samphiregrade-gateway/src/limits/allowance.rs
@@ -69,8 +69,8 @@
 }
 
 impl OrganisationAllowance {
-    /// Consumes a prefetched token for a request; returns whether one was available. `begins` is set if the request
-    /// starts a program.
+    /// Consumes an available token for a request; returns whether there was one. `begins` is set if the request starts
+    /// a program.
     pub fn take(&mut self, begins: bool, now: BootTime, window: Duration) -> bool {
         if self.available(now) == 0 {
             return false;
@@ -115,7 +115,7 @@
         allowed.max(MIN_STANDALONE)
     }
 
-    /// Returns the token of a request that did not run.
+    /// Gives back the token of a request that did not run.
     pub fn give_back(&mut self) {
         self.used = self.used.saturating_sub(1);
         self.recent.take_back();
