--- a/src/program/book.rs
+++ b/src/program/book.rs
@@ -1,4 +1,4 @@
-//! The table of a shard: every program it holds, built up by log entries.
+//! The program table of a shard: the state of all its programs, built from log entries.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::SystemTime;
@@ -16,77 +16,77 @@
     ClassName, OrganisationId, ProgramId, SequenceNumber, ShardEpoch, TokenCount, UpstreamName,
 };
 
-/// How far a call has come.
+/// The progress of a call.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum CallPhase {
-    /// It may have been dispatched; its outcome is not known.
+    /// The call was accepted and may have been dispatched; its outcome is not known.
     Intended {
         /// Tokens reserved.
         reserved: TokenCount,
-        /// Epoch in which it was accepted.
+        /// Epoch of the shard in which the call was accepted.
         epoch: ShardEpoch,
-        /// When it was accepted.
+        /// Time at which the call was accepted.
         accepted: SystemTime,
     },
-    /// It has its outcome.
+    /// The call has its final outcome.
     Finished(CallOutcome),
 }
 
 /// One call of a program.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CallRecord {
-    /// Digest of the body.
+    /// Digest of the request's body.
     pub digest: BodyDigest,
-    /// What was asked for.
+    /// The requested model or service call.
     pub spec: CallSpec,
-    /// How far it has come.
+    /// Progress of the call.
     pub phase: CallPhase,
 }
 
-/// Whether a program still takes calls.
+/// Whether a program accepts further calls.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub enum ProgramStatus {
-    /// It does.
+    /// The program accepts calls.
     Running,
-    /// It has ended.
+    /// The program has ended.
     Ended {
-        /// Why.
+        /// Why the program ended.
         reason: EndReason,
-        /// When.
+        /// Time at which the program ended.
         at: SystemTime,
     },
 }
 
-/// One program.
+/// The state of one program.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ProgramRecord {
-    /// How it began.
+    /// The entry that began the program.
     pub begin: ProgramBegin,
-    /// Its tokens.
+    /// Token account.
     pub account: BudgetAccount,
-    /// Its calls in order.
+    /// Calls in order of their sequence numbers.
     pub calls: Vec<CallRecord>,
-    /// Engines that may keep its prefix.
+    /// Engines that may hold the program's prefix in their caches.
     pub holds: BTreeSet<UpstreamName>,
-    /// Whether it still takes calls.
+    /// Whether the program accepts further calls.
     pub status: ProgramStatus,
-    /// Sub-agents that draw on it.
+    /// Sub-agents that draw on this program's budget.
     pub children: Vec<ProgramId>,
-    /// When the last call finished.
+    /// Time at which the last call finished; the begin of the program before that.
     pub last_finished: SystemTime,
-    /// How often the last call's body came in a row.
+    /// Number of consecutive calls with the last call's body.
     pub repeats: u16,
 }
 
 impl ProgramRecord {
-    /// Returns a call by its number.
+    /// Returns a call by its sequence number.
     #[must_use]
     pub fn call(&self, sequence: SequenceNumber) -> Option<&CallRecord> {
         let index = usize::try_from(sequence).ok()?.checked_sub(1)?;
         self.calls.get(index)
     }
 
-    /// Returns the number that the next new call has to have.
+    /// Returns the sequence number that the next new call must have.
     #[must_use]
     pub fn next_sequence(&self) -> SequenceNumber {
         SequenceNumber::try_from(self.calls.len())
@@ -94,7 +94,7 @@
             .saturating_add(1)
     }
 
-    /// Returns whether a call waits for its outcome.
+    /// Returns whether the last call has no outcome yet.
     #[must_use]
     pub fn is_busy(&self) -> bool {
         self.calls
@@ -102,20 +102,20 @@
             .is_some_and(|call| matches!(call.phase, CallPhase::Intended { .. }))
     }
 
-    /// Returns whether the program takes calls.
+    /// Returns whether the program accepts calls.
     #[must_use]
     pub fn is_running(&self) -> bool {
         self.status == ProgramStatus::Running
     }
 
-    /// Returns the conversation up to the calls before `sequence`.
+    /// Returns the conversation of the calls before `sequence`.
     #[must_use]
     pub fn history_before(&self, sequence: SequenceNumber) -> Vec<ChatMessage> {
-        let earlier = usize::try_from(sequence)
+        let earlier_calls = usize::try_from(sequence)
             .unwrap_or(usize::MAX)
             .saturating_sub(1);
         let mut messages = Vec::new();
-        for call in self.calls.iter().take(earlier) {
+        for call in self.calls.iter().take(earlier_calls) {
             let CallSpec::Model(spec) = &call.spec else {
                 continue;
             };
@@ -131,7 +131,7 @@
         messages
     }
 
-    /// Returns the calls that have their outcome.
+    /// Returns the number of calls that have their outcome.
     #[must_use]
     pub fn finished_calls(&self) -> SequenceNumber {
         let finished = self
@@ -151,13 +151,13 @@
 }
 
 impl ProgramTable {
-    /// Returns a program.
+    /// Returns the record of a program.
     #[must_use]
     pub fn program(&self, program: &str) -> Option<&ProgramRecord> {
         self.programs.get(program)
     }
 
-    /// Returns all programs, in no order.
+    /// Returns all programs in arbitrary order.
     pub fn programs(&self) -> impl Iterator<Item = (&ProgramId, &ProgramRecord)> {
         self.programs.iter()
     }
@@ -168,7 +168,7 @@
         self.programs.len()
     }
 
-    /// Returns whether the shard holds no program.
+    /// Returns whether the shard has no program.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.programs.is_empty()
@@ -186,7 +186,7 @@
         self.classes.get(class).copied().unwrap_or(0)
     }
 
-    /// Applies an entry; one that fits nothing changes nothing.
+    /// Applies an entry; an entry that does not match the current state has no effect.
     pub fn apply(&mut self, entry: &LogEntry) {
         match entry {
             LogEntry::Begin(begin) => self.apply_begin(begin),
@@ -216,7 +216,7 @@
         if let Some(parent) = &begin.parent
             && let Some(parent) = self.programs.get_mut(parent)
         {
-            // The decision has checked that it fits.
+            // The decision has checked that the reservation fits the budget.
             let _ = parent.account.reserve(begin.limits.tokens);
             parent.children.push(begin.program.clone());
         }
@@ -240,16 +240,16 @@
         if intent.sequence != program.next_sequence() {
             return;
         }
-        let same = program
+        let is_repeat = program
             .calls
             .last()
             .is_some_and(|call| call.digest == intent.digest);
-        program.repeats = if same {
+        program.repeats = if is_repeat {
             program.repeats.saturating_add(1)
         } else {
             1
         };
-        // The decision has checked that it fits.
+        // The decision has checked that the reservation fits the budget.
         let _ = program.account.reserve(intent.reserved);
         let phase = CallPhase::Intended {
             reserved: intent.reserved,
@@ -286,8 +286,8 @@
         let unused = reserved - result.used.min(reserved);
         let organisation = program.begin.organisation.clone();
         let class = program.begin.class.clone();
-        give_back(self.organisations.get_mut(&organisation), unused);
-        give_back(self.classes.get_mut(&class), unused);
+        subtract_tokens(self.organisations.get_mut(&organisation), unused);
+        subtract_tokens(self.classes.get_mut(&class), unused);
     }
 
     fn apply_end(&mut self, end: &ProgramEnd) {
@@ -310,7 +310,7 @@
         }
     }
 
-    /// Returns the state of the table in numbers, for dumps.
+    /// Returns counts of the table's contents for dumps.
     #[must_use]
     pub fn summary(&self) -> TableSummary {
         let running = self
@@ -332,21 +332,21 @@
     }
 }
 
-fn give_back(account: Option<&mut TokenCount>, tokens: TokenCount) {
-    if let Some(used) = account {
+fn subtract_tokens(total: Option<&mut TokenCount>, tokens: TokenCount) {
+    if let Some(used) = total {
         *used = used.saturating_sub(tokens);
     }
 }
 
-/// State of a table in numbers.
+/// Counts of a program table's contents.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct TableSummary {
-    /// Programs remembered.
+    /// Number of programs, running or ended.
     pub programs: usize,
-    /// Programs running.
+    /// Number of running programs.
     pub running: usize,
-    /// Engine holds not given back.
+    /// Number of engine holds that are not released.
     pub holds: usize,
     /// Tokens spent or reserved by each organisation.
     pub organisations: BTreeMap<SmolStr, TokenCount>,
--- a/src/program/budget.rs
+++ b/src/program/budget.rs
@@ -1,4 +1,4 @@
-//! Budgets: what a program may use, what is reserved and what is spent.
+//! Budgets: the limits of a program, and its reserved and spent tokens.
 
 use std::time::Duration;
 
@@ -7,20 +7,20 @@
 
 use crate::ids::{SequenceNumber, TokenCount};
 
-/// What a program may use.
+/// Limits of a program.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct ProgramLimits {
-    /// Tokens, generated and newly sent.
+    /// Maximum number of tokens, counting generated and newly sent ones.
     pub tokens: TokenCount,
-    /// Calls.
+    /// Maximum number of calls.
     pub calls: SequenceNumber,
-    /// Time from begin to end, in seconds in records.
+    /// Maximum time from begin to end; written in seconds in records.
     #[serde(with = "seconds")]
     pub wall_time: Duration,
-    /// Depth of sub-agents below the program.
+    /// Maximum nesting depth of sub-agents below the program.
     pub depth: u8,
-    /// Times that the same call may come in a row.
+    /// Maximum number of identical calls in a row.
     pub repeats: u16,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// A duration as a whole number of seconds.
+/// Serialisation of a duration as an integer number of seconds.
 mod seconds {
     use std::time::Duration;
 
@@ -57,12 +57,12 @@
     }
 }
 
-/// A reservation that goes beyond what is left.
+/// A reservation that exceeds the remaining tokens.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
-#[error("{asked} tokens asked for, {left} left; end the program or raise its budget")]
+#[error("{requested} tokens requested, {left} left; end the program or raise its budget")]
 pub struct BudgetExceeded {
-    /// Tokens asked for.
-    pub asked: TokenCount,
+    /// Tokens requested.
+    pub requested: TokenCount,
     /// Tokens left.
     pub left: TokenCount,
 }
@@ -72,14 +72,14 @@
 pub struct BudgetAccount {
     /// Tokens allowed.
     pub limit: TokenCount,
-    /// Tokens reserved for what is under way.
+    /// Tokens reserved for running calls and sub-agents.
     pub reserved: TokenCount,
     /// Tokens spent.
     pub spent: TokenCount,
 }
 
 impl BudgetAccount {
-    /// Opens an account.
+    /// Creates an account without reserved or spent tokens.
     #[must_use]
     pub fn new(limit: TokenCount) -> Self {
         Self {
@@ -104,17 +104,17 @@
     ///
     /// # Errors
     ///
-    /// Returns [`BudgetExceeded`] where fewer are left; nothing is reserved then.
-    pub fn reserve(&mut self, asked: TokenCount) -> Result<(), BudgetExceeded> {
+    /// Returns [`BudgetExceeded`] if fewer tokens are left; nothing is reserved then.
+    pub fn reserve(&mut self, requested: TokenCount) -> Result<(), BudgetExceeded> {
         let left = self.left();
-        if asked > left {
-            return Err(BudgetExceeded { asked, left });
+        if requested > left {
+            return Err(BudgetExceeded { requested, left });
         }
-        self.reserved += asked;
+        self.reserved += requested;
         Ok(())
     }
 
-    /// Ends a reservation; what was used of it counts as spent, at most the reservation.
+    /// Ends a reservation and counts the used tokens, at most the reserved ones, as spent.
     pub fn settle(&mut self, reserved: TokenCount, used: TokenCount) {
         self.reserved = self.reserved.saturating_sub(reserved);
         self.spent = self.spent.saturating_add(used.min(reserved));
@@ -131,9 +131,9 @@
         fn account_is_never_overdrawn(limit: u32, steps: Vec<(u16, u16)>) -> bool {
             let mut account = BudgetAccount::new(limit.into());
             let mut open = Vec::new();
-            for (asked, used) in steps {
-                if account.reserve(asked.into()).is_ok() {
-                    open.push((TokenCount::from(asked), TokenCount::from(used)));
+            for (requested, used) in steps {
+                if account.reserve(requested.into()).is_ok() {
+                    open.push((TokenCount::from(requested), TokenCount::from(used)));
                 }
                 if used % 2 == 0 && let Some((reserved, used)) = open.pop() {
                     account.settle(reserved, used);
--- a/src/program/decide.rs
+++ b/src/program/decide.rs
@@ -1,4 +1,4 @@
-//! Decisions about a caller's request, from a table and a time.
+//! Decisions on callers' requests, based on the program table and the current time.
 
 use std::time::{Duration, SystemTime};
 
@@ -9,24 +9,24 @@
 use crate::contract::{CallSpec, Refusal, RefusalKind};
 use crate::ids::{ProgramId, SequenceNumber, ShardEpoch, TokenCount};
 
-/// When a caller that came too early should ask again.
-const EARLY_RETRY: Duration = Duration::from_millis(200);
+/// Retry delay for a caller whose request arrives before an earlier call has finished.
+const EARLY_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Part of its parent's tokens that a sub-agent gets which does not say how many it wants.
-const SUB_AGENT_SHARE: TokenCount = 4;
+/// Divisor that gives a sub-agent's share of its parent's remaining tokens if it requests no number.
+const SUB_AGENT_DIVISOR: TokenCount = 4;
 
-/// What to do about the begin of a program.
+/// The decision on the begin of a program.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BeginDecision {
-    /// Append the entry, then tell the caller the tokens granted.
+    /// Append the entry, then return the number of granted tokens to the caller.
     Accept(LogEntry, TokenCount),
-    /// The program is known; tell the caller the tokens granted.
+    /// The program exists already; return the number of granted tokens to the caller.
     Known(TokenCount),
-    /// Refuse.
+    /// Refuse the request.
     Refuse(Refusal),
 }
 
-/// Decides about the begin of a program, or of a sub-agent below a parent of the same shard.
+/// Decides on the begin of a program, or of a sub-agent below a parent of the same shard.
 #[must_use]
 pub fn decide_begin(table: &ProgramTable, mut begin: ProgramBegin) -> BeginDecision {
     if let Some(known) = table.program(&begin.program) {
@@ -37,7 +37,7 @@
         return BeginDecision::Known(known.begin.limits.tokens);
     }
     if let Some(parent) = begin.parent.clone() {
-        match begin_below(table, &parent, &mut begin) {
+        match begin_sub_agent(table, &parent, &mut begin) {
             Ok(()) => {}
             Err(refusal) => return BeginDecision::Refuse(refusal),
         }
@@ -46,13 +46,14 @@
     BeginDecision::Accept(LogEntry::Begin(begin), granted)
 }
 
-fn begin_below(
+/// Fits the begin of a sub-agent to the limits of its parent.
+fn begin_sub_agent(
     table: &ProgramTable,
     parent: &ProgramId,
     begin: &mut ProgramBegin,
 ) -> Result<(), Refusal> {
     let refuse = |kind, detail: &str| Err(Refusal::not_run(kind, detail));
-    let Some(parent) = visible(table, parent, &begin.organisation) else {
+    let Some(parent) = visible_program(table, parent, &begin.organisation) else {
         return refuse(RefusalKind::UnknownProgram, "no such parent program");
     };
     if !parent.is_running() {
@@ -64,12 +65,12 @@
             "sub-agents are nested too deeply",
         );
     }
-    // Without a wish of its own a sub-agent leaves room for the parent and for others.
+    // A sub-agent that requests no number of tokens leaves some to the parent and other sub-agents.
     let left = parent.account.left();
     let share = if begin.wishes_tokens {
         left
     } else {
-        left.div_ceil(SUB_AGENT_SHARE)
+        left.div_ceil(SUB_AGENT_DIVISOR)
     };
     begin.limits.tokens = begin.limits.tokens.min(share);
     if begin.limits.tokens == 0 {
@@ -84,8 +85,8 @@
     Ok(())
 }
 
-/// Returns a program where the organisation may see it.
-fn visible<'table>(
+/// Returns a program if it belongs to the organisation.
+fn visible_program<'table>(
     table: &'table ProgramTable,
     program: &str,
     organisation: &str,
@@ -94,55 +95,55 @@
     (record.begin.organisation == organisation).then_some(record)
 }
 
-/// A call as it reaches the shard's primary.
+/// A call that has arrived at the shard's primary, with the state that the decision depends on.
 #[derive(Clone, Debug)]
 pub struct CallArrival {
     /// The program.
     pub program: ProgramId,
     /// Number of the call.
     pub sequence: SequenceNumber,
-    /// Digest of the body.
+    /// Digest of the request's body.
     pub digest: BodyDigest,
-    /// What is asked for.
+    /// The requested model or service call.
     pub spec: CallSpec,
-    /// Organisation of the caller's token.
+    /// Organisation of the caller's access token.
     pub organisation: crate::ids::OrganisationId,
-    /// Tokens that the organisation may still use in this shard.
+    /// Tokens that remain for the organisation in this shard.
     pub organisation_left: TokenCount,
-    /// Tokens that the class may still use in this shard.
+    /// Tokens that remain for the class in this shard.
     pub class_left: TokenCount,
     /// Current epoch of the shard.
     pub epoch: ShardEpoch,
-    /// Whether this process runs the call's dispatch already.
+    /// Whether a dispatch of the call is running in this process.
     pub running_here: bool,
     /// Current time.
     pub now: SystemTime,
 }
 
-/// What to do about a call.
+/// The decision on a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallDecision {
-    /// Append the intent, then dispatch.
+    /// Append the intent, then dispatch the call.
     Accept(CallIntent),
-    /// Wait for the dispatch that is under way here.
+    /// Wait for the dispatch that is running in this process.
     Join,
-    /// Dispatch again: the outcome is not known, and repeating does no harm.
+    /// Dispatch the call again: its outcome is unknown, and the call is idempotent.
     Redispatch(CallIntent),
-    /// Never dispatch again: ask the upstream for the outcome, else it stays unknown.
+    /// Never dispatch the call again; query the upstream for the outcome, which otherwise stays unknown.
     Resolve(CallIntent),
     /// Return the stored outcome.
     Replay(CallOutcome),
-    /// End the program, then refuse.
+    /// End the program, then refuse the call.
     EndThenRefuse(ProgramEnd, Refusal),
-    /// Refuse.
+    /// Refuse the call.
     Refuse(Refusal),
 }
 
-/// Decides about a call.
+/// Decides on a call.
 #[must_use]
 pub fn decide_call(table: &ProgramTable, arrival: &CallArrival) -> CallDecision {
-    let Some(program) = visible(table, &arrival.program, &arrival.organisation) else {
-        // It may have been forgotten, and the call may have run before that.
+    let Some(program) = visible_program(table, &arrival.program, &arrival.organisation) else {
+        // The program may have been forgotten after the call ran, so the outcome is unknown.
         let refusal = Refusal::unknown(RefusalKind::UnknownProgram, "no such program");
         return CallDecision::Refuse(refusal);
     };
@@ -173,7 +174,7 @@
     accept_call(program, arrival)
 }
 
-/// Decides about a call whose intent an earlier process has left without an outcome.
+/// Decides on a call whose intent is stored without an outcome and which is not running here.
 fn take_over_call(intent: CallIntent) -> CallDecision {
     if intent.spec.is_idempotent() {
         return CallDecision::Redispatch(intent);
@@ -202,9 +203,9 @@
     if arrival.sequence != next || program.is_busy() {
         let detail = format!("call {next} is the next new one, after the answer of the one before");
         let refusal = Refusal::not_run(RefusalKind::OutOfOrder, detail);
-        return CallDecision::Refuse(refusal.with_retry_after(EARLY_RETRY));
+        return CallDecision::Refuse(refusal.with_retry_after(EARLY_RETRY_DELAY));
     }
-    if let Some((reason, refusal)) = broken_limit(program, arrival) {
+    if let Some((reason, refusal)) = exceeded_limit(program, arrival) {
         let end = ProgramEnd {
             program: arrival.program.clone(),
             reason,
@@ -221,18 +222,18 @@
     reserve_call(program, arrival)
 }
 
-/// Finds a limit whose breach ends the program.
-fn broken_limit(program: &ProgramRecord, arrival: &CallArrival) -> Option<(EndReason, Refusal)> {
+/// Finds an exceeded limit that ends the program.
+fn exceeded_limit(program: &ProgramRecord, arrival: &CallArrival) -> Option<(EndReason, Refusal)> {
     if arrival.now >= program.begin.deadline {
         let detail = "the program's deadline has passed";
         let refusal = Refusal::not_run(RefusalKind::DeadlinePassed, detail);
         return Some((EndReason::Deadline, refusal));
     }
-    let same = program
+    let is_repeat = program
         .calls
         .last()
         .is_some_and(|call| call.digest == arrival.digest);
-    if same && program.repeats >= program.begin.limits.repeats {
+    if is_repeat && program.repeats >= program.begin.limits.repeats {
         let detail = format!("the same call came {} times in a row", program.repeats);
         let refusal = Refusal::not_run(RefusalKind::LoopDetected, detail);
         return Some((EndReason::Loop, refusal));
@@ -275,18 +276,18 @@
     }
 }
 
-/// What to do about the end of a program.
+/// The decision on the end of a program.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndDecision {
-    /// Append the entries, which end the program and its sub-agents.
+    /// Append the entries that end the program and its sub-agents.
     Accept(Vec<LogEntry>),
-    /// It has ended already.
+    /// The program has already ended.
     Known,
-    /// Refuse.
+    /// Refuse the request.
     Refuse(Refusal),
 }
 
-/// Decides about the end of a program by its caller.
+/// Decides on the end of a program that its caller requests.
 #[must_use]
 pub fn decide_end(
     table: &ProgramTable,
@@ -294,7 +295,7 @@
     organisation: &str,
     now: SystemTime,
 ) -> EndDecision {
-    let Some(record) = visible(table, program, organisation) else {
+    let Some(record) = visible_program(table, program, organisation) else {
         let refusal = Refusal::not_run(RefusalKind::UnknownProgram, "no such program");
         return EndDecision::Refuse(refusal);
     };
@@ -303,12 +304,12 @@
     }
     if record.is_busy() {
         let refusal = Refusal::not_run(RefusalKind::OutOfOrder, "a call has not finished yet");
-        return EndDecision::Refuse(refusal.with_retry_after(EARLY_RETRY));
+        return EndDecision::Refuse(refusal.with_retry_after(EARLY_RETRY_DELAY));
     }
     EndDecision::Accept(end_entries(table, program, EndReason::Caller, now))
 }
 
-/// Composes the entries that end a program after its sub-agents.
+/// Composes the entries that end a program's sub-agents and then the program.
 fn end_entries(
     table: &ProgramTable,
     program: &ProgramId,
@@ -316,15 +317,15 @@
     now: SystemTime,
 ) -> Vec<LogEntry> {
     let mut entries = Vec::new();
-    let mut open = vec![(program.clone(), reason)];
-    while let Some((program, reason)) = open.pop() {
+    let mut unvisited = vec![(program.clone(), reason)];
+    while let Some((program, reason)) = unvisited.pop() {
         let Some(record) = table.program(&program) else {
             continue;
         };
         if !record.is_running() {
             continue;
         }
-        open.extend(
+        unvisited.extend(
             record
                 .children
                 .iter()
@@ -336,14 +337,14 @@
             ended: now,
         }));
     }
-    // Sub-agents first, so that their accounts settle before their parent's closes.
+    // Sub-agents end first, so that their accounts are settled before the parent's account.
     entries.reverse();
     entries
 }
 
-/// Composes the entries that end programs past their deadline and forget old ones.
+/// Composes the entries that end programs past their deadline and remove those past their retention.
 ///
-/// A busy program is left until its call has an outcome.
+/// Skips a busy program until its call has an outcome.
 #[must_use]
 pub fn sweep_expired(table: &ProgramTable, now: SystemTime, retention: Duration) -> Vec<LogEntry> {
     let mut entries = Vec::new();
@@ -364,11 +365,11 @@
     entries
 }
 
-/// Cuts a caller's wish to what its class allows.
+/// Limits the tokens that a caller requests to the maximum of its class.
 #[must_use]
 pub fn grant_limits(allowed: &ProgramLimits, tokens: Option<TokenCount>) -> ProgramLimits {
     ProgramLimits {
-        tokens: tokens.map_or(allowed.tokens, |wish| wish.min(allowed.tokens)),
+        tokens: tokens.map_or(allowed.tokens, |requested| requested.min(allowed.tokens)),
         ..allowed.clone()
     }
 }
--- a/src/program/entry.rs
+++ b/src/program/entry.rs
@@ -1,4 +1,4 @@
-//! Entries of a shard's log: everything that changes a program.
+//! Entries of a shard's log: all changes of programs.
 
 use std::time::SystemTime;
 
@@ -12,7 +12,7 @@
     ClassName, OrganisationId, ProgramId, SequenceNumber, ShardEpoch, TokenCount, UpstreamName,
 };
 
-/// Digest of a request's body, by which a key that comes again with another body is found.
+/// Digest of a request's body, used to detect a key that is reused with another body.
 pub type BodyDigest = [u8; 16];
 
 /// Computes the digest of a request's body.
@@ -23,32 +23,32 @@
     digest
 }
 
-/// A program was accepted.
+/// Records that a program was accepted.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ProgramBegin {
     /// The program.
     pub program: ProgramId,
-    /// Organisation that may see it.
+    /// Organisation that owns the program.
     pub organisation: OrganisationId,
-    /// Its class.
+    /// Class of the program.
     pub class: ClassName,
-    /// Digest of the begin's body.
+    /// Digest of the body of the request that began the program.
     pub digest: BodyDigest,
-    /// What it may use.
+    /// Limits of the program.
     pub limits: ProgramLimits,
-    /// Whether the caller said how many tokens it wants.
+    /// Whether the caller requested a number of tokens.
     pub wishes_tokens: bool,
-    /// When it was accepted.
+    /// Time at which the program was accepted.
     pub began: SystemTime,
-    /// When it has to have ended.
+    /// Deadline of the program.
     pub deadline: SystemTime,
-    /// Program on whose budget it draws.
+    /// Parent program on whose budget a sub-agent draws.
     pub parent: Option<ProgramId>,
-    /// Sub-agent depth; 0 for a program that a caller began.
+    /// Nesting depth of a sub-agent; 0 for a program without a parent.
     pub depth: u8,
 }
 
-/// A call was accepted, its budget is reserved, and it may be dispatched from now on.
+/// Records that a call was accepted and its tokens reserved; the call may be dispatched once this is stored.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CallIntent {
     /// The program.
@@ -57,32 +57,32 @@
     pub sequence: SequenceNumber,
     /// Digest of the call's body.
     pub digest: BodyDigest,
-    /// What is asked for, with the most tokens already cut to the budget.
+    /// The requested model or service call, with the maximum number of tokens limited to the budget.
     pub spec: CallSpec,
     /// Tokens reserved.
     pub reserved: TokenCount,
     /// Epoch of the shard in which the call was accepted.
     pub epoch: ShardEpoch,
-    /// When it was accepted.
+    /// Time at which the call was accepted.
     pub accepted: SystemTime,
 }
 
-/// A call has its final outcome.
+/// Records the final outcome of a call.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CallResult {
     /// The program.
     pub program: ProgramId,
     /// Number of the call.
     pub sequence: SequenceNumber,
-    /// The outcome.
+    /// Final outcome.
     pub outcome: CallOutcome,
-    /// Tokens used, to settle the reservation with.
+    /// Tokens used, with which the reservation is settled.
     pub used: TokenCount,
-    /// When it was known.
+    /// Time at which the outcome was known.
     pub finished: SystemTime,
 }
 
-/// An engine keeps a program's prefix.
+/// A hold: an engine's promise to keep a program's prefix in its cache during a pause.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EngineHold {
     /// The program.
@@ -91,27 +91,27 @@
     pub upstream: UpstreamName,
 }
 
-/// Why a program ended.
+/// The reason why a program ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum EndReason {
-    /// Its caller ended it.
+    /// The caller ended the program.
     Caller,
-    /// Its deadline passed.
+    /// The deadline passed.
     Deadline,
-    /// It repeated the same call too often.
+    /// The program repeated the same call too often.
     Loop,
-    /// The program on whose budget it drew has ended.
+    /// The parent program ended.
     Parent,
 }
 
-/// A program ended.
+/// Records the end of a program.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ProgramEnd {
     /// The program.
     pub program: ProgramId,
-    /// Why.
+    /// The reason.
     pub reason: EndReason,
-    /// When.
+    /// Time of the end.
     pub ended: SystemTime,
 }
 
@@ -122,20 +122,20 @@
     Begin(ProgramBegin),
     /// A call was accepted and may be dispatched.
     Intent(CallIntent),
-    /// A call has its outcome.
+    /// A call has its final outcome.
     Result(CallResult),
-    /// An engine is about to keep a program's prefix.
+    /// An engine is about to be sent the request to hold a program's prefix.
     Hold(EngineHold),
-    /// An engine has confirmed that it keeps a program's prefix no longer.
+    /// An engine has confirmed the release of a program's prefix.
     Release(EngineHold),
     /// A program ended.
     End(ProgramEnd),
-    /// A program that ended long ago is no longer remembered.
+    /// The retention time of an ended program has passed; the program is removed.
     Forget(ProgramId),
 }
 
 impl LogEntry {
-    /// Returns the program that the entry is about.
+    /// Returns the program that the entry changes.
     #[must_use]
     pub fn program(&self) -> &ProgramId {
         match self {
@@ -150,14 +150,14 @@
 }
 
 impl CallIntent {
-    /// Key that identifies the call to upstreams for ever.
+    /// Returns the call's permanent idempotency key for upstreams.
     #[must_use]
     pub fn idempotency_key(&self) -> SmolStr {
         idempotency_key(&self.program, self.sequence)
     }
 }
 
-/// Key that identifies a call to upstreams for ever.
+/// Returns the permanent idempotency key of a call for upstreams.
 #[must_use]
 pub fn idempotency_key(program: &ProgramId, sequence: SequenceNumber) -> SmolStr {
     smol_str::format_smolstr!("{program}/{sequence}")
--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -1,8 +1,8 @@
-//! Programs as a shard's log builds them up: entries, state, budgets and decisions.
+//! Programs of a shard: log entries, replicated state, budgets and decisions.
 //!
-//! Everything here is pure. A [`ProgramTable`] is changed by [`LogEntry`] values alone, so every copy
-//! of a shard that has applied the same entries holds the same table. The decisions look at the table
-//! and at a time that comes in as an argument, and return the entries to append.
+//! This module does no I/O and reads no clock. Only [`LogEntry`] values change a [`ProgramTable`], so all
+//! copies of a shard that have applied the same entries have the same state. The decisions depend on
+//! the program table and on a time that the caller passes in, and return the entries to append.
 
 mod book;
 mod budget;
--- a/src/program/outcome.rs
+++ b/src/program/outcome.rs
@@ -1,4 +1,4 @@
-//! Final outcomes of calls and how callers see them.
+//! Final outcomes of calls and the responses that callers receive.
 
 use samphiregrade_http::OutgoingResponse;
 use serde::{Deserialize, Serialize};
@@ -7,29 +7,29 @@
 use crate::contract::{AnswerBody, AnswerChoice, AnswerMessage, Refusal, TokenUsage};
 use crate::ids::{ProgramId, SequenceNumber};
 
-/// The final outcome of a call; it never changes.
+/// The final, immutable outcome of a call.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum CallOutcome {
-    /// The answer of a model.
+    /// A model's answer.
     Answer {
-        /// The text.
+        /// Generated text.
         text: String,
-        /// Tokens taken.
+        /// Tokens used.
         usage: TokenUsage,
     },
-    /// The result of a service.
+    /// A service's response.
     Reply {
-        /// HTTP status of the service.
+        /// HTTP status of the response.
         status: u16,
-        /// Body of the service's answer.
+        /// Body of the response.
         body: String,
     },
-    /// The call was given up.
+    /// The call was abandoned without an answer.
     Refused(Refusal),
 }
 
 impl CallOutcome {
-    /// Composes the response; the same outcome always gives the same bytes.
+    /// Composes the response; equal outcomes always give identical bytes.
     #[must_use]
     pub fn response(&self, program: &ProgramId, sequence: SequenceNumber) -> OutgoingResponse {
         match self {
--- a/src/shard/actor.rs
+++ b/src/shard/actor.rs
@@ -1,4 +1,4 @@
-//! The task that owns one copy of a shard, in whatever role the map gives it.
+//! The task that owns one copy of a shard, in the role that the shard map assigns to it.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -18,14 +18,14 @@
 use crate::ids::{InstanceRef, ShardEpoch, ShardId};
 use crate::keyvalue::KeyValueError;
 
-/// Commands that may wait for the task.
-const INBOX: usize = 4096;
+/// Capacity of the command queue of a task.
+const INBOX_CAPACITY: usize = 4096;
 
-/// How much longer than for its local members a remote backup waits before it takes a shard over
-/// whose failure domain still has an instance that answers.
-const REMOTE_PATIENCE: u32 = 3;
+/// Multiple of the suspicion timeout after which a remote backup takes a shard over although the
+/// shard's failure domain still has a responding instance.
+const REMOTE_SUSPECT_FACTOR: u32 = 3;
 
-/// A copy in the role that it has at the moment.
+/// A copy with its current role.
 #[derive(Debug)]
 enum CopyState {
     Absent,
@@ -33,10 +33,10 @@
     Primary(Box<PrimaryState>),
 }
 
-/// Starts the task of a copy and returns where its commands go.
+/// Starts the task of a copy and returns the sender for its commands.
 #[must_use]
 pub fn spawn_copy(shard: ShardId, context: Arc<ShardContext>) -> mpsc::Sender<ShardCommand> {
-    let (sender, inbox) = mpsc::channel(INBOX);
+    let (sender, inbox) = mpsc::channel(INBOX_CAPACITY);
     let actor = CopyActor {
         shard,
         context,
@@ -50,7 +50,7 @@
 }
 
 impl CopyState {
-    fn held(&self) -> CurrentRole {
+    fn current_role(&self) -> CurrentRole {
         match self {
             Self::Absent => CurrentRole::Absent,
             Self::Backup(copy) => CurrentRole::Backup(copy.epoch()),
@@ -91,11 +91,11 @@
         }
     }
 
-    fn held(&self) -> CurrentRole {
+    fn current_role(&self) -> CurrentRole {
         let recovered = self.context.recovered_position(&self.shard);
         match (&self.state, recovered) {
             (CopyState::Absent, Some((epoch, _))) => CurrentRole::Recovered(epoch),
-            (state, _) => state.held(),
+            (state, _) => state.current_role(),
         }
     }
 
@@ -103,29 +103,29 @@
         self.context.peers.view().me.clone()
     }
 
-    /// Takes the role that the newest known map gives this instance.
+    /// Switches to the role that the newest known map assigns to this instance.
     async fn reconcile(&mut self) {
         let Some(placement) = self.context.maps.placement(&self.shard) else {
             return;
         };
-        let change = decide_role(self.held(), &placement, &self.me());
+        let change = decide_role(self.current_role(), &placement, &self.me());
         let state = std::mem::replace(&mut self.state, CopyState::Absent);
         self.state = match (change, state) {
             (RoleChange::Keep, state) => state,
             (RoleChange::StartEmptyBackup, _) => {
                 self.state = CopyState::Backup(ShardCopy::empty(placement.epoch));
-                return self.persist_copy().await;
+                return self.persist_snapshot().await;
             }
             (RoleChange::Adopt, CopyState::Primary(mut primary)) => {
                 primary.adopt(&placement);
                 CopyState::Primary(primary)
             }
             (RoleChange::StepDown, CopyState::Primary(primary)) => {
-                CopyState::Backup(primary.resign(&self.shard))
+                CopyState::Backup(primary.step_down(&self.shard))
             }
             (RoleChange::Drop, state) => {
                 if let CopyState::Primary(primary) = state {
-                    primary.resign(&self.shard);
+                    primary.step_down(&self.shard);
                 }
                 self.context.take_recovered(&self.shard);
                 if let Some(store) = &self.context.store {
@@ -140,7 +140,7 @@
                 let Some(copy) = self.context.take_recovered(&self.shard) else {
                     return;
                 };
-                log::info!("shard restored from disk shard={}", self.shard);
+                log::info!("shard copy restored from disk shard={}", self.shard);
                 let state = CopyState::Backup(ShardCopy::recovered(copy));
                 return self.promote(state, &placement).await;
             }
@@ -159,10 +159,10 @@
         }
     }
 
-    /// Begins to serve as primary, once every backup has the same copy.
+    /// Starts to serve as primary after every backup has the same state.
     async fn start_primary(&mut self, copy: ShardCopy<PrimaryRole>, placement: &ShardPlacement) {
         log::info!(
-            "shard primary shard={} epoch={} index={} backups={}",
+            "shard primary starts shard={} epoch={} index={} backups={}",
             self.shard,
             placement.epoch,
             copy.position().index,
@@ -176,9 +176,9 @@
             copy,
             placement.backups.clone(),
         );
-        let begun = primary.begin_tenure().await;
+        let started = primary.begin_tenure().await;
         self.state = CopyState::Primary(Box::new(primary));
-        if begun.is_err() {
+        if started.is_err() {
             Box::pin(self.reconcile()).await;
         }
     }
@@ -190,10 +190,10 @@
             }
             return;
         };
-        let (own, from_peers): (Vec<_>, Vec<_>) = commands
+        let (from_callers, from_peers): (Vec<_>, Vec<_>) = commands
             .into_iter()
             .partition(|command| !is_from_peer(command));
-        let served = primary.serve(own).await;
+        let served = primary.serve(from_callers).await;
         if served.is_err() {
             self.reconcile().await;
         }
@@ -202,17 +202,17 @@
         }
     }
 
-    /// Handles another primary's command while this copy may still count as the primary's.
+    /// Handles a command of another primary while this copy still has the primary role.
     async fn handle_from_peer(&mut self, command: ShardCommand) {
-        let newer = match &command {
+        let request_epoch = match &command {
             ShardCommand::Append(request, _) => request.epoch,
             ShardCommand::Install(request, _) => request.epoch,
             _ => 0,
         };
         if let CopyState::Primary(primary) = &self.state
-            && newer > primary.epoch()
+            && request_epoch > primary.epoch()
         {
-            // The map must have changed for another to write in a newer epoch.
+            // Another primary writes in a newer epoch only if the map has changed.
             self.refresh_map().await;
             self.reconcile().await;
         }
@@ -224,24 +224,24 @@
             ShardCommand::Append(request, reply) => {
                 let verdict = self.append(&request);
                 self.persist_entries(&request, verdict).await;
-                // A primary that is gone does not need the answer.
+                // The receiver is dropped if the primary no longer waits; the reply is not needed then.
                 let _ = reply.send(verdict);
             }
             ShardCommand::Install(request, reply) => {
                 let verdict = self.install(*request);
                 if verdict == AppendReply::Stored {
-                    self.persist_copy().await;
+                    self.persist_snapshot().await;
                 }
                 let _ = reply.send(verdict);
             }
             ShardCommand::Dump(reply) => {
                 let _ = reply.send(self.dump());
             }
-            other => answer_moved(other),
+            other => reject_command(other),
         }
     }
 
-    /// Puts entries that were stored here on the disk, before they are acknowledged.
+    /// Writes entries to disk after this backup has applied them and before it acknowledges them.
     async fn persist_entries(&mut self, request: &AppendRequest, verdict: AppendReply) {
         let Some(store) = self.context.store.clone() else {
             return;
@@ -260,27 +260,27 @@
                 &request.entries,
             )
             .await;
-        if copy.position().index % ENTRIES_PER_COPY < request.entries.len() as u64 {
-            self.persist_copy().await;
+        if copy.position().index % ENTRIES_PER_SNAPSHOT < request.entries.len() as u64 {
+            self.persist_snapshot().await;
         }
     }
 
-    /// Puts the whole copy on the disk.
-    async fn persist_copy(&self) {
+    /// Writes a snapshot of the backup's copy to disk.
+    async fn persist_snapshot(&self) {
         let (Some(store), CopyState::Backup(copy)) = (&self.context.store, &self.state) else {
             return;
         };
-        // What was found at the start is out of date now.
+        // The copy that was recovered at startup is now out of date.
         self.context.take_recovered(&self.shard);
         store
             .replace(&self.shard, copy.epoch(), copy.position(), copy.table())
             .await;
     }
 
-    /// Returns whether a newer map is known here than the epoch: its primary writes no more.
+    /// Returns whether the known map has a newer epoch, so that the primary of `epoch` is deposed.
     ///
-    /// This holds for an instance without a copy as well. Were it to take one of an old epoch, an old
-    /// primary could count on it although the shard has moved on.
+    /// The check also applies to an instance without a copy: if it accepted a copy of an old epoch, the
+    /// old primary could count it as a backup although the shard has a newer primary.
     fn is_outdated(&self, epoch: ShardEpoch) -> bool {
         let placement = self.context.maps.placement(&self.shard);
         placement.is_some_and(|placement| epoch < placement.epoch)
@@ -319,12 +319,12 @@
                     self.reconcile().await;
                 }
             }
-            CopyState::Backup(_) => self.look_after_primary(),
+            CopyState::Backup(_) => self.watch_primary(),
         }
     }
 
-    /// Takes the shard over where its primary does not answer any more.
-    fn look_after_primary(&mut self) {
+    /// Starts a takeover of the shard if its primary no longer responds.
+    fn watch_primary(&mut self) {
         let Some(placement) = self.context.maps.placement(&self.shard) else {
             return;
         };
@@ -340,14 +340,14 @@
             return;
         }
         log::info!(
-            "shard takeover begins shard={} epoch={} primary={}",
+            "shard takeover starts shard={} epoch={} primary={}",
             self.shard,
             placement.epoch,
             placement.primary
         );
         let context = self.context.clone();
         let shard = self.shard.clone();
-        // Until the map has changed this copy goes on following: the suspicion may be wrong.
+        // This copy remains a backup until the map has changed: the suspicion may be wrong.
         self.takeover = Some(tokio::spawn(take_over(context, shard, placement)));
     }
 
@@ -370,20 +370,20 @@
             .filter(|member| **member != view.me)
             .filter(|member| {
                 view.record(member)
-                    .is_none_or(|one| one.domain == self.shard.domain)
+                    .is_none_or(|record| record.domain == self.shard.domain)
             })
             .collect();
         if local.iter().all(|member| view.has_ended(member)) {
             return true;
         }
-        // The domain can be reached and its members can't: they are down, not cut off.
-        let patience = view.suspect_after * REMOTE_PATIENCE;
+        // The domain is reachable but its members are not: they are down, not cut off.
+        let remote_timeout = view.suspect_after * REMOTE_SUSPECT_FACTOR;
         let connected = !view.live_in(&self.shard.domain, now).is_empty();
-        let silent = local.iter().all(|member| view.suspects(member, now));
-        connected && silent && now.duration_since(since) > patience
+        let all_suspected = local.iter().all(|member| view.suspects(member, now));
+        connected && all_suspected && now.duration_since(since) > remote_timeout
     }
 
-    /// Reads the domain's map from the platform; returns whether there was an answer.
+    /// Reads the domain's map from the key-value service; returns whether the read succeeded.
     async fn refresh_map(&self) -> bool {
         refresh_map(&self.context, &self.shard).await.is_ok()
     }
@@ -410,7 +410,7 @@
     }
 }
 
-/// Asks the map to make this instance's copy the primary's, without the members it suspects.
+/// Proposes a map with this instance as primary and without the members that it suspects.
 async fn take_over(context: Arc<ShardContext>, shard: ShardId, placement: ShardPlacement) {
     let view = context.peers.view();
     let now = Instant::now();
@@ -425,13 +425,13 @@
         Ok(_) => {
             context.counters.takeovers.fetch_add(1, Ordering::Relaxed);
         }
-        // The newer map that stood in the way is known now.
+        // The conflicting, newer map has been adopted.
         Err(ProposeError::Conflict(_)) => {}
-        Err(error) => log::info!("shard takeover waits shard={shard} error={error}"),
+        Err(error) => log::info!("shard takeover not made, will retry shard={shard} error={error}"),
     }
 }
 
-/// Reads the map of a shard's failure domain from the platform.
+/// Reads the map of a shard's failure domain from the key-value service.
 pub async fn refresh_map(context: &ShardContext, shard: &ShardId) -> Result<(), KeyValueError> {
     let entry = context.key_value.read_key(&map_key(&shard.domain)).await?;
     let Some(entry) = entry else { return Ok(()) };
@@ -449,9 +449,9 @@
     )
 }
 
-/// Tells whoever waits for the command that this copy is not the primary's.
-pub fn answer_moved(command: ShardCommand) {
-    // Whoever is gone does not need the answer.
+/// Replies to a command that this copy is not the primary's.
+pub fn reject_command(command: ShardCommand) {
+    // A dropped receiver no longer needs the reply.
     match command {
         ShardCommand::Begin(_, reply) => drop(reply.send(None)),
         ShardCommand::End(_, _, reply) => drop(reply.send(None)),
@@ -471,8 +471,8 @@
     }
 }
 
-/// Entries after which the disk gets a whole copy in their place.
-pub const ENTRIES_PER_COPY: u64 = 4096;
+/// Entries on disk after which a snapshot replaces them.
+pub const ENTRIES_PER_SNAPSHOT: u64 = 4096;
 
-/// Pause between two tries of an append that some backup has not stored.
-pub const APPEND_PAUSE: Duration = Duration::from_millis(25);
+/// Delay before an append is sent again to the backups that have not stored it.
+pub const APPEND_RETRY_DELAY: Duration = Duration::from_millis(25);
--- a/src/shard/command.rs
+++ b/src/shard/command.rs
@@ -1,4 +1,4 @@
-//! Commands to the task that owns a copy of a shard.
+//! Commands for the task that owns a copy of a shard.
 
 use std::sync::Arc;
 
@@ -11,61 +11,61 @@
 use crate::ids::{OrganisationId, ProgramId, SequenceNumber, ShardEpoch, TokenCount, UpstreamName};
 use crate::program::{BodyDigest, CallOutcome, ProgramBegin, TableSummary};
 
-/// The answer to a call.
+/// The reply to a call.
 #[derive(Clone, Debug)]
 pub enum CallReply {
     /// The final outcome.
     Outcome(CallOutcome),
-    /// The answer is coming.
+    /// The answer is being generated and can be read from the buffer.
     Stream(Arc<StreamBuffer>),
-    /// Refused, without a stored outcome.
+    /// The call was refused; no outcome is stored.
     Refused(Refusal),
-    /// This copy is not the primary's any more; find the primary again.
+    /// This copy is not the primary's; the sender has to look up the primary again.
     NotPrimary,
 }
 
-/// A call from a caller.
+/// A call that a caller has made.
 #[derive(Debug)]
 pub struct CallCommand {
     /// The program.
     pub program: ProgramId,
     /// Number of the call.
     pub sequence: SequenceNumber,
-    /// Digest of the body.
+    /// Digest of the request's body.
     pub digest: BodyDigest,
-    /// What is asked for.
+    /// The requested model or service call.
     pub spec: CallSpec,
-    /// Organisation of the caller's token.
+    /// Organisation of the caller's access token.
     pub organisation: OrganisationId,
-    /// Where the answer goes.
+    /// Receives the reply.
     pub reply: oneshot::Sender<CallReply>,
 }
 
-/// What became of a dispatch.
+/// The result of a dispatch.
 #[derive(Clone, Debug)]
 pub struct DispatchResult {
     /// The program.
     pub program: ProgramId,
     /// Number of the call.
     pub sequence: SequenceNumber,
-    /// Epoch in which it was dispatched.
+    /// Epoch of the shard in which the call was dispatched.
     pub epoch: ShardEpoch,
     /// The outcome.
     pub outcome: CallOutcome,
     /// Tokens used.
     pub used: TokenCount,
-    /// Engine that served it and may keep the prefix now.
+    /// Engine that served the call and can hold the program's prefix.
     pub hold: Option<UpstreamName>,
 }
 
-/// A question about a program that changes nothing.
+/// A read-only query about a program.
 #[derive(Debug)]
 pub enum ProgramQuery {
     /// The program's state.
     Program(oneshot::Sender<Result<ProgramReply, Refusal>>),
-    /// Its conversation.
+    /// The program's conversation.
     History(oneshot::Sender<Result<HistoryReply, Refusal>>),
-    /// A call's answer, however late.
+    /// The reply to an earlier call, whether it is running or finished.
     Call(SequenceNumber, oneshot::Sender<CallReply>),
 }
 
@@ -79,48 +79,48 @@
     pub role: SmolStr,
     /// Epoch of the copy.
     pub epoch: ShardEpoch,
-    /// Index of its last entry.
+    /// Index of the last log entry.
     pub index: u64,
     /// Backups of the primary.
     pub backups: Vec<SmolStr>,
-    /// Whether it goes on without its copy in another failure domain.
+    /// Whether the primary replicates within its own failure domain only.
     pub detached: bool,
-    /// Calls under way.
+    /// Number of running calls.
     pub running_calls: usize,
-    /// Programs in numbers.
+    /// Program counts.
     pub book: Option<TableSummary>,
 }
 
-/// A command to the task that owns a copy.
+/// A command for the task that owns a copy.
 #[derive(Debug)]
 pub enum ShardCommand {
-    /// Begin a program.
+    /// Begins a program.
     Begin(
         Box<ProgramBegin>,
         oneshot::Sender<Option<Result<BeginReply, Refusal>>>,
     ),
-    /// Call.
+    /// Makes a call.
     Call(Box<CallCommand>),
-    /// Ask about a program.
+    /// Queries a program.
     Query(ProgramId, OrganisationId, ProgramQuery),
-    /// End a program.
+    /// Ends a program.
     End(
         ProgramId,
         OrganisationId,
         oneshot::Sender<Option<Result<ProgramReply, Refusal>>>,
     ),
-    /// A dispatch has ended.
+    /// Reports the result of a dispatch.
     DispatchFinished(Box<DispatchResult>),
-    /// An engine lists a hold; have it released unless the table has it.
+    /// Reports a hold that an engine lists; it is released unless the program's record has it.
     AuditHold(ProgramId, UpstreamName),
-    /// An engine has confirmed that it keeps a program's prefix no longer.
+    /// Reports that an engine has confirmed the release of a program's prefix.
     Released(ProgramId, UpstreamName),
-    /// Entries from a primary.
+    /// Appends log entries of a primary.
     Append(AppendRequest, oneshot::Sender<AppendReply>),
-    /// A whole copy from a primary.
+    /// Installs a snapshot of a primary's copy.
     Install(Box<InstallRequest>, oneshot::Sender<AppendReply>),
-    /// The instance is stopping: hand the shard over.
+    /// Makes the primary hand the shard over because the instance is stopping.
     Drain,
-    /// State for a dump.
+    /// Returns the state for a dump.
     Dump(oneshot::Sender<CopyDump>),
 }
--- a/src/shard/context.rs
+++ b/src/shard/context.rs
@@ -1,4 +1,4 @@
-//! What the task of a copy needs from the rest of the instance.
+//! Settings, shared state and interfaces that the task of a copy uses.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -24,22 +24,22 @@
 use crate::record::ConfigView;
 use crate::storage::{BulkStore, RecoveredCopy};
 
-/// How copies are kept.
+/// Settings of the shards' copies.
 #[derive(Clone, Debug)]
 pub struct ShardSettings {
-    /// Backups wanted in the shard's own failure domain.
+    /// Target number of backups in the shard's own failure domain.
     pub local_backups: usize,
-    /// Backups wanted in other failure domains.
+    /// Target number of backups in other failure domains.
     pub remote_backups: usize,
-    /// Most commands answered by one append.
+    /// Maximum number of commands that one append covers.
     pub max_batch: usize,
-    /// Longest wait for a backup's answer.
+    /// Timeout of an append to a backup.
     pub append_timeout: Duration,
-    /// Time between two looks at what is due.
+    /// Interval of the periodic checks of a copy.
     pub tick: Duration,
-    /// How long an ended program is remembered.
+    /// Retention time of an ended program.
     pub retention: Duration,
-    /// Longest time an engine keeps a prefix over a pause.
+    /// Maximum time for which an engine holds the prefix of a paused program.
     pub max_hold: Duration,
 }
 
@@ -57,66 +57,66 @@
     }
 }
 
-/// A call that may be dispatched: its intent is stored.
+/// A call whose intent is stored, so that it can be dispatched.
 #[derive(Clone, Debug)]
 pub struct DispatchJob {
     /// The shard.
     pub shard: ShardId,
-    /// Epoch of the shard: the fencing number for upstreams.
+    /// Epoch of the shard, which upstreams use as the fencing token.
     pub epoch: ShardEpoch,
-    /// The call.
+    /// The intent of the call.
     pub intent: CallIntent,
-    /// The conversation before it.
+    /// The conversation before the call.
     pub history: Vec<ChatMessage>,
     /// Class of the program.
     pub class: ClassName,
     /// Organisation of the program.
     pub organisation: OrganisationId,
-    /// When the program began.
+    /// Time at which the program began.
     pub began: SystemTime,
-    /// When the program has to have ended.
+    /// Deadline of the program.
     pub deadline: SystemTime,
-    /// Tokens that the program has used so far.
+    /// Tokens that the program has spent so far.
     pub attained: u64,
-    /// Time since the program's last answer.
+    /// Time between the program's last answer and this call.
     pub pause: Duration,
-    /// Engine that held the prefix over the pause.
+    /// Engine that held the program's prefix during the pause.
     pub holding_upstream: Option<UpstreamName>,
-    /// Times that an upstream has failed the call here.
+    /// Number of attempts in this process that an upstream has failed.
     pub failures: u32,
-    /// Whether an earlier process may have dispatched the call.
+    /// Whether the call may have been dispatched before.
     pub redispatch: bool,
-    /// Whether the call must not be dispatched again, but its outcome asked for.
+    /// Whether the upstream is only queried for the outcome because the call must not be dispatched twice.
     pub resolve_only: bool,
-    /// Where the text goes as it comes.
+    /// Receives the generated text as it arrives.
     pub stream: Arc<StreamBuffer>,
-    /// Where the outcome goes.
+    /// Receives the result of the dispatch.
     pub done: mpsc::Sender<ShardCommand>,
-    /// Cancelled when nobody waits for the answer any more or the copy is not the primary's.
+    /// Cancelled when no caller waits for the answer any more or the copy is no longer the primary's.
     pub cancel: CancellationToken,
 }
 
-/// Takes dispatches and orders about engines' caches.
+/// Accepts dispatches and commands for the engines' prefix caches.
 pub trait DispatchSink: Send + Sync + 'static {
-    /// Refuses the begin of a program that could not be served in time.
+    /// Returns a refusal if a new program could not be served before its deadline.
     fn admit(&self, class: &ClassName, deadline: SystemTime, now: SystemTime) -> Option<Refusal>;
 
-    /// Takes a dispatch.
+    /// Queues a call for dispatch.
     fn dispatch(&self, job: DispatchJob);
 
-    /// Decides whether an engine should keep the prefix of a program that pauses.
+    /// Decides whether an engine should hold the prefix of a program that pauses.
     fn should_hold(&self, class: &ClassName, upstream: &UpstreamName, tokens: u64) -> bool;
 
-    /// Asks an engine to keep a program's prefix.
+    /// Requests that an engine hold a program's prefix.
     fn hold(&self, program: ProgramId, upstream: UpstreamName);
 
-    /// Asks an engine to keep a program's prefix no longer; resolves to whether it confirmed.
+    /// Requests that an engine release a program's prefix; resolves to whether the engine confirmed.
     fn release(&self, program: ProgramId, upstream: UpstreamName) -> BoxFuture<'_, bool>;
 
-    /// Forgets the programs of a shard that has another primary now.
+    /// Discards the prefix locations of a shard's programs because this instance is no longer its primary.
     fn forget_shard(&self, shard: &ShardId);
 
-    /// Learns from the end of a program.
+    /// Adds an ended program to the statistics of its class.
     fn program_ended(&self, program: &ProgramId, class: &ClassName, calls: u32, tokens: u64);
 }
 
@@ -127,37 +127,37 @@
     pub entries: AtomicU64,
     /// Appends sent, each with a batch of entries.
     pub batches: AtomicU64,
-    /// Shards taken over.
+    /// Takeovers made.
     pub takeovers: AtomicU64,
-    /// Whole copies sent.
+    /// Snapshots sent.
     pub installs: AtomicU64,
-    /// Shards that began empty because no copy was left.
+    /// Shards reset to empty because no copy was left.
     pub resets: AtomicU64,
 }
 
-/// What the tasks of all copies share.
+/// State that the tasks of all copies share.
 pub struct ShardContext {
-    /// How copies are kept.
+    /// Settings of the copies.
     pub settings: ShardSettings,
-    /// The instances.
+    /// Known instances.
     pub peers: Arc<PeerTable>,
-    /// The links.
+    /// Links to other instances.
     pub network: LinkNetwork,
-    /// The platform.
+    /// Client of the key-value service.
     pub key_value: KeyValueClient,
     /// The shard maps.
     pub maps: Arc<MapCache>,
     /// The configuration in force.
     pub config: Arc<ArcSwap<ConfigView>>,
-    /// Where dispatches go.
+    /// Accepts the dispatches.
     pub dispatch: Arc<dyn DispatchSink>,
-    /// The disk, where the instance has one.
+    /// Disk storage, if the instance has a disk.
     pub store: Option<BulkStore>,
-    /// Copies found on it at the start, until they are used or out of date.
+    /// Copies found on disk at startup, until they are used or out of date.
     pub recovered: Mutex<HashMap<ShardId, RecoveredCopy>>,
-    /// Whole copies that may be sent at the same time.
+    /// Limits the number of snapshots sent at the same time.
     pub install_permits: Semaphore,
-    /// Counters.
+    /// Counters of the copies.
     pub counters: ShardCounters,
     /// Cancelled when the instance stops.
     pub stop: CancellationToken,
@@ -172,7 +172,7 @@
 }
 
 impl ShardContext {
-    /// Returns the epoch and place of a shard's copy that was found on the disk.
+    /// Returns the epoch and log position of a shard's copy that was found on disk.
     pub fn recovered_position(&self, shard: &ShardId) -> Option<(ShardEpoch, LogPosition)> {
         let recovered = self
             .recovered
@@ -181,7 +181,7 @@
         recovered.get(shard).map(|copy| (copy.epoch, copy.position))
     }
 
-    /// Takes the copy of a shard that was found on the disk.
+    /// Removes and returns the copy of a shard that was found on disk.
     pub fn take_recovered(&self, shard: &ShardId) -> Option<RecoveredCopy> {
         self.recovered
             .lock()
--- a/src/shard/copy.rs
+++ b/src/shard/copy.rs
@@ -1,9 +1,10 @@
-//! One copy of a shard and the rules by which copies agree.
+//! One copy of a shard and the rules of the replication protocol.
 //!
-//! A primary exposes an effect only after every backup of its epoch has stored the entry. So each
-//! backup holds every effect that was exposed, and whichever of them the map makes primary refuses
-//! the old primary's entries from then on: the old one can expose nothing more, however late it wakes
-//! up, and no clock is needed. The role is part of the type: only a backup's copy can be promoted.
+//! A primary exposes an effect only after every backup of its epoch has stored the entry, so each
+//! backup has every exposed effect. The backup that the map promotes refuses the old primary's entries
+//! from then on, so the old primary can expose nothing more, even if it resumes after a long pause. The
+//! protocol does not depend on clocks. The role is part of the type: only a backup's copy can be
+//! promoted.
 
 use std::marker::PhantomData;
 
@@ -13,53 +14,53 @@
 use crate::program::{LogEntry, ProgramTable};
 use crate::storage::RecoveredCopy;
 
-/// A place in a shard's log: the index with the epoch whose primary wrote the entry there.
+/// A position in a shard's log: the index of an entry and the epoch of the primary that wrote it.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct LogPosition {
-    /// Epoch in which the entry was written.
+    /// Epoch in which the primary wrote the entry.
     pub epoch: ShardEpoch,
-    /// Index of the entry; 0 stands before the first.
+    /// Index of the entry; 0 is the position before the first entry.
     pub index: LogIndex,
 }
 
-/// Entries from a primary to a backup.
+/// Log entries that a primary sends to a backup.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct AppendRequest {
     /// The shard.
     pub shard: ShardId,
     /// Epoch of the primary.
     pub epoch: ShardEpoch,
-    /// Place after which the entries go.
+    /// Position of the entry before the first one of the request.
     pub previous: LogPosition,
-    /// The entries, all of the primary's epoch.
+    /// The entries, all written in the primary's epoch.
     pub entries: Vec<LogEntry>,
 }
 
-/// A whole copy from a primary to a backup.
+/// A snapshot that a primary sends to a backup.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct InstallRequest {
     /// The shard.
     pub shard: ShardId,
-    /// Epoch in which the receiver is to be a backup.
+    /// Epoch in which the receiver becomes or stays a backup.
     pub epoch: ShardEpoch,
-    /// Last place of the copy.
+    /// Position of the last entry in the snapshot.
     pub position: LogPosition,
-    /// The copy.
+    /// The programs at this position.
     pub table: ProgramTable,
 }
 
-/// What became of entries or a copy.
+/// A backup's verdict on an append or a snapshot.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum AppendReply {
-    /// They are stored.
+    /// The entries or the snapshot are stored.
     Stored,
-    /// The receiver has moved to a newer epoch or is sealed for this one.
+    /// The receiver knows a newer epoch, is the primary itself, or already has a later position.
     Stale,
-    /// The receiver's copy does not reach the place before the entries; it needs a whole copy.
+    /// The receiver's copy does not match the position before the entries; it needs a snapshot.
     Gap,
 }
 
-/// Role of a copy that follows a primary.
+/// Role of a copy that stores a primary's entries.
 #[derive(Clone, Copy, Debug)]
 pub struct BackupRole;
 
@@ -67,30 +68,30 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PrimaryRole;
 
-/// One copy of a shard in some role.
+/// One copy of a shard with its role.
 #[derive(Clone, Debug)]
 pub struct ShardCopy<Role> {
     role: PhantomData<Role>,
-    /// Epoch of the primary that the copy was last brought in line with.
+    /// Epoch of the primary that the copy was last synchronised with.
     epoch: ShardEpoch,
     position: LogPosition,
     table: ProgramTable,
 }
 
 impl<Role> ShardCopy<Role> {
-    /// Returns the epoch of the primary that the copy was last brought in line with.
+    /// Returns the epoch of the primary that the copy was last synchronised with.
     #[must_use]
     pub fn epoch(&self) -> ShardEpoch {
         self.epoch
     }
 
-    /// Returns the last place of the copy.
+    /// Returns the position of the copy's last entry.
     #[must_use]
     pub fn position(&self) -> LogPosition {
         self.position
     }
 
-    /// Returns the programs.
+    /// Returns the programs of the shard.
     #[must_use]
     pub fn table(&self) -> &ProgramTable {
         &self.table
@@ -107,7 +108,7 @@
 }
 
 impl ShardCopy<BackupRole> {
-    /// Starts an empty copy at the epoch in which the shard begins empty.
+    /// Creates an empty copy for the epoch in which the shard starts empty.
     #[must_use]
     pub fn empty(epoch: ShardEpoch) -> Self {
         Self {
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Starts a copy from a whole one.
+    /// Creates a copy from a snapshot.
     #[must_use]
     pub fn installed(request: InstallRequest) -> Self {
         Self {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Starts a copy from one that was found on a disk.
+    /// Creates a copy from one that was recovered from disk.
     #[must_use]
     pub fn recovered(copy: RecoveredCopy) -> Self {
         Self {
@@ -142,18 +143,18 @@
 
     /// Stores entries of the primary.
     ///
-    /// Entries of an older epoch are refused. Entries that are here already are passed over, so that
-    /// a request may come twice.
+    /// Refuses entries of an older epoch. Skips entries that are already stored, so that a repeated
+    /// request has no effect.
     pub fn append(&mut self, request: &AppendRequest) -> AppendReply {
         if request.epoch < self.epoch {
             return AppendReply::Stale;
         }
-        let known = self.known_part(request);
-        let Some(known) = known else {
+        let stored = self.stored_prefix(request);
+        let Some(stored) = stored else {
             return AppendReply::Gap;
         };
         self.epoch = request.epoch;
-        for entry in &request.entries[known..] {
+        for entry in &request.entries[stored..] {
             self.table.apply(entry);
             self.position = LogPosition {
                 index: self.position.index + 1,
@@ -163,36 +164,38 @@
         AppendReply::Stored
     }
 
-    /// Returns how many of the entries are here already; `None` where some before them are missing.
-    fn known_part(&self, request: &AppendRequest) -> Option<usize> {
+    /// Returns how many of the entries are already stored, or `None` if the copy does not match the
+    /// position before them.
+    fn stored_prefix(&self, request: &AppendRequest) -> Option<usize> {
         if self.position == request.previous {
             return Some(0);
         }
-        // A repeated request of the same primary: its entries are the last ones here.
+        // In a repeated request of the same primary, the entries are the last ones of this copy.
         let ahead = self.position.index.checked_sub(request.previous.index)?;
         let ahead = usize::try_from(ahead).ok()?;
         let same_primary = self.position.epoch == request.epoch;
         (same_primary && ahead > 0 && ahead <= request.entries.len()).then_some(ahead)
     }
 
-    /// Replaces the copy by a whole one, unless that is older.
+    /// Replaces the copy by a snapshot, unless the snapshot is older.
     ///
-    /// One epoch has one primary, whose log only grows: of two copies for the same epoch the one that
-    /// reaches less far was late on its way, and taking it would lose entries that count as stored.
+    /// An epoch has one primary, whose log only grows. Of two snapshots of the same epoch, the one with
+    /// the earlier position was delayed in transit, and installing it would lose entries that the
+    /// primary counts as stored.
     pub fn install(&mut self, request: InstallRequest) -> AppendReply {
-        let late = request.epoch == self.epoch && request.position < self.position;
-        if request.epoch < self.epoch || late {
+        let delayed = request.epoch == self.epoch && request.position < self.position;
+        if request.epoch < self.epoch || delayed {
             return AppendReply::Stale;
         }
         *self = Self::installed(request);
         AppendReply::Stored
     }
 
-    /// Makes the copy the primary's, in an epoch that the map has given it.
+    /// Promotes the copy to primary in the epoch that the map assigns.
     ///
     /// # Errors
     ///
-    /// Gives the copy back where it is in that epoch, or a newer one, already.
+    /// Returns the copy unchanged if it already has that epoch or a newer one.
     pub fn promote(self, epoch: ShardEpoch) -> Result<ShardCopy<PrimaryRole>, Self> {
         if epoch <= self.epoch {
             return Err(self);
@@ -204,9 +207,9 @@
 }
 
 impl ShardCopy<PrimaryRole> {
-    /// Applies an entry and returns its place.
+    /// Applies an entry and advances the position.
     ///
-    /// Its effects must not be exposed before every backup of the epoch has stored it.
+    /// The effects of the entry must not be exposed before every backup of the epoch has stored it.
     pub fn write(&mut self, entry: &LogEntry) {
         self.table.apply(entry);
         self.position = LogPosition {
@@ -215,12 +218,12 @@
         };
     }
 
-    /// Moves on to a newer epoch in which this copy stays the primary's.
+    /// Advances to a newer epoch in which this copy remains the primary's.
     pub fn advance(&mut self, epoch: ShardEpoch) {
         self.epoch = self.epoch.max(epoch);
     }
 
-    /// Composes a whole copy for a backup.
+    /// Composes a snapshot for a backup.
     #[must_use]
     pub fn snapshot(&self, shard: &ShardId, epoch: ShardEpoch) -> InstallRequest {
         InstallRequest {
@@ -231,7 +234,7 @@
         }
     }
 
-    /// Hands the shard over: the copy follows the next primary from then on.
+    /// Demotes the copy to a backup of the next primary.
     #[must_use]
     pub fn step_down(self) -> ShardCopy<BackupRole> {
         self.into_role()
@@ -276,7 +279,7 @@
     }
 
     #[test]
-    fn entries_of_a_dead_primary_need_a_whole_copy() {
+    fn entries_of_a_failed_primary_need_a_snapshot() {
         let mut copy = ShardCopy::empty(1);
         copy.append(&request(1, LogPosition::default(), 3));
         let shorter = request(2, LogPosition { index: 2, epoch: 1 }, 1);
@@ -284,16 +287,16 @@
     }
 
     #[test]
-    fn late_copy_of_the_same_primary_is_refused() {
+    fn delayed_snapshot_of_the_same_epoch_is_refused() {
         let mut copy = ShardCopy::empty(1);
-        let whole = |index| InstallRequest {
+        let snapshot = |index| InstallRequest {
             shard: request(1, LogPosition::default(), 0).shard,
             epoch: 2,
             position: LogPosition { index, epoch: 2 },
             table: ProgramTable::default(),
         };
-        assert_eq!(copy.install(whole(5)), AppendReply::Stored);
-        assert_eq!(copy.install(whole(4)), AppendReply::Stale);
+        assert_eq!(copy.install(snapshot(5)), AppendReply::Stored);
+        assert_eq!(copy.install(snapshot(4)), AppendReply::Stale);
         assert_eq!(copy.position().index, 5);
     }
 
--- a/src/shard/keeper.rs
+++ b/src/shard/keeper.rs
@@ -1,7 +1,7 @@
-//! The maps of all failure domains as this instance knows them, and changes to them.
+//! The shard maps of all failure domains that this instance knows, and the proposal of changes to them.
 //!
-//! Changes that come close together go into one swap, so that the platform's rate grows with the
-//! number of failures and not with the number of shards.
+//! Changes that are proposed within a short time are combined into one swap, so that the request rate
+//! at the key-value service grows with the number of failures and not with the number of shards.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -19,23 +19,23 @@
 use crate::ids::{DomainId, RevisionNumber, ShardEpoch, ShardId};
 use crate::keyvalue::{KeyValueClient, KeyValueError, SwapOutcome};
 
-/// Time over which changes are collected for one swap.
-const COLLECT_TIME: Duration = Duration::from_millis(10);
+/// Time for which changes are collected into one swap.
+const BATCH_DELAY: Duration = Duration::from_millis(10);
 
-/// Swaps tried anew after another instance's change came between.
-const SWAP_TRIES: usize = 8;
+/// Maximum number of swap attempts while other instances change the map concurrently.
+const SWAP_ATTEMPTS: usize = 8;
 
-/// Why a change of placement was not made.
+/// An error that prevents a change of placement.
 #[derive(Clone, Debug, Error)]
 pub enum ProposeError {
-    /// The placement is not what the change supposed.
+    /// The change does not apply to the current placement.
     #[error(transparent)]
     Conflict(#[from] MapConflict),
-    /// The platform gave no answer.
+    /// The call of the key-value service failed.
     #[error(transparent)]
     KeyValue(#[from] KeyValueError),
-    /// No map is known.
-    #[error("there is no shard map of the failure domain yet; it is made within seconds")]
+    /// The failure domain's map is not known.
+    #[error("the failure domain has no shard map yet; one is created within seconds")]
     NoMap,
     /// The instance is stopping.
     #[error("the instance is stopping")]
@@ -51,20 +51,20 @@
 
 type KnownMaps = HashMap<DomainId, Arc<VersionedMap>>;
 
-/// Older maps of each failure domain that are kept to tell what has changed since.
-const KEPT_MAPS: usize = 8;
+/// Number of older maps kept for each failure domain, from which deltas are computed.
+const HISTORY_LIMIT: usize = 8;
 
-type OlderMaps = HashMap<DomainId, VecDeque<Arc<VersionedMap>>>;
+type MapHistory = HashMap<DomainId, VecDeque<Arc<VersionedMap>>>;
 
-/// The maps that this instance knows.
+/// The shard maps that this instance knows.
 #[derive(Debug)]
 pub struct MapCache {
     maps: ArcSwap<KnownMaps>,
-    /// Older maps, oldest first; the lock is held by whoever stores a newer one.
-    older: Mutex<OlderMaps>,
+    /// Older maps, oldest first; the lock is held while a newer map is stored.
+    older: Mutex<MapHistory>,
     version: watch::Sender<u64>,
     proposals: mpsc::Sender<MapProposal>,
-    fresh: Notify,
+    map_stored: Notify,
 }
 
 impl std::fmt::Debug for MapProposal {
@@ -77,25 +77,25 @@
 }
 
 impl MapCache {
-    /// Starts a keeper with its task for changes; to be called inside a tokio runtime.
+    /// Creates the cache and spawns its task for proposals; has to be called inside a tokio runtime.
     #[must_use]
     pub fn start(key_value: KeyValueClient, writer: &str, stop: CancellationToken) -> Arc<Self> {
         let (proposals, receiver) = mpsc::channel(1024);
-        let keeper = Arc::new(Self {
+        let cache = Arc::new(Self {
             maps: ArcSwap::default(),
             older: Mutex::default(),
             version: watch::Sender::new(0),
             proposals,
-            fresh: Notify::new(),
+            map_stored: Notify::new(),
         });
         let proposer = MapProposer {
-            keeper: keeper.clone(),
+            cache: cache.clone(),
             key_value,
             writer: writer.to_owned(),
             attempts: 0,
         };
         tokio::spawn(proposer.run(receiver, stop));
-        keeper
+        cache
     }
 
     /// Returns the map of a failure domain.
@@ -104,7 +104,7 @@
         self.maps.load().get(domain).cloned()
     }
 
-    /// Returns what has changed since a revision; `None` where that map is not kept any more.
+    /// Returns the changes since a revision, or `None` if the map of that revision is not kept.
     #[must_use]
     pub fn changes_since(&self, domain: &str, revision: RevisionNumber) -> Option<MapDelta> {
         let newest = self.map(domain)?;
@@ -116,7 +116,7 @@
         Some(newest.delta_from(base))
     }
 
-    /// Takes changes that start from the known map; returns whether they did.
+    /// Applies a delta whose base is the known map; returns whether it was applied.
     pub fn adopt_delta(&self, delta: &MapDelta) -> bool {
         let newer = self
             .map(&delta.domain)
@@ -146,13 +146,13 @@
         self.maps.load().values().cloned().collect()
     }
 
-    /// Returns a receiver that tells of every newer map.
+    /// Returns a receiver that is notified of every newer map.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.version.subscribe()
     }
 
-    /// Takes a map, unless a newer one is known; returns whether it was newer.
+    /// Stores a map if it is newer than the known one; returns whether it was stored.
     pub fn adopt(&self, map: VersionedMap) -> bool {
         let mut older = self.older.lock().unwrap_or_else(PoisonError::into_inner);
         let maps = self.maps.load();
@@ -161,26 +161,26 @@
             return false;
         }
         if let Some(known) = known {
-            let kept = older.entry(map.map.domain.clone()).or_default();
-            kept.push_back(known.clone());
-            if kept.len() > KEPT_MAPS {
-                kept.pop_front();
+            let history = older.entry(map.map.domain.clone()).or_default();
+            history.push_back(known.clone());
+            if history.len() > HISTORY_LIMIT {
+                history.pop_front();
             }
         }
         let mut next = KnownMaps::clone(&maps);
         next.insert(map.map.domain.clone(), Arc::new(map));
         self.maps.store(Arc::new(next));
         self.version.send_modify(|version| *version += 1);
-        self.fresh.notify_waiters();
+        self.map_stored.notify_waiters();
         true
     }
 
-    /// Changes the placement of a shard and returns the new one.
+    /// Changes the placement of a shard and returns the new placement.
     ///
     /// # Errors
     ///
-    /// Returns [`ProposeError`]; the change may have been made only where that is
-    /// [`KeyValueError::NoAnswer`].
+    /// Returns [`ProposeError`]. Only with [`KeyValueError::NoAnswer`] may the change have been made
+    /// nevertheless.
     pub async fn propose(
         &self,
         shard: &ShardId,
@@ -203,7 +203,7 @@
 }
 
 struct MapProposer {
-    keeper: Arc<MapCache>,
+    cache: Arc<MapCache>,
     key_value: KeyValueClient,
     writer: String,
     attempts: u64,
@@ -217,41 +217,41 @@
                 () = stop.cancelled() => return,
             };
             let Some(first) = first else { return };
-            tokio::time::sleep(COLLECT_TIME).await;
+            tokio::time::sleep(BATCH_DELAY).await;
             let mut by_domain: HashMap<DomainId, Vec<MapProposal>> = HashMap::new();
             by_domain
                 .entry(first.shard.domain.clone())
                 .or_default()
                 .push(first);
-            while let Ok(more) = proposals.try_recv() {
+            while let Ok(proposal) = proposals.try_recv() {
                 by_domain
-                    .entry(more.shard.domain.clone())
+                    .entry(proposal.shard.domain.clone())
                     .or_default()
-                    .push(more);
+                    .push(proposal);
             }
             for (domain, batch) in by_domain {
-                self.apply(&domain, batch).await;
+                self.apply_batch(&domain, batch).await;
             }
         }
     }
 
-    async fn apply(&mut self, domain: &DomainId, batch: Vec<MapProposal>) {
-        for _ in 0..SWAP_TRIES {
-            let Some(known) = self.keeper.map(domain) else {
-                return answer_all(batch, &ProposeError::NoMap);
+    async fn apply_batch(&mut self, domain: &DomainId, batch: Vec<MapProposal>) {
+        for _ in 0..SWAP_ATTEMPTS {
+            let Some(known) = self.cache.map(domain) else {
+                return reply_to_all(batch, &ProposeError::NoMap);
             };
             self.attempts += 1;
-            let (next, verdicts) = self.changed_map(&known, &batch);
-            if verdicts.iter().all(Result::is_err) {
-                return answer_each(batch, verdicts);
+            let (next, results) = self.changed_map(&known, &batch);
+            if results.iter().all(Result::is_err) {
+                return reply_to_each(batch, results);
             }
             match self.swap(domain, known.revision, &next).await {
-                Ok(Some(())) => return answer_each(batch, verdicts),
+                Ok(Some(())) => return reply_to_each(batch, results),
                 Ok(None) => {}
-                Err(error) => return answer_all(batch, &error.into()),
+                Err(error) => return reply_to_all(batch, &error.into()),
             }
         }
-        answer_all(batch, &MapConflict::EpochChanged.into());
+        reply_to_all(batch, &MapConflict::EpochChanged.into());
     }
 
     fn changed_map(
@@ -261,7 +261,7 @@
     ) -> (DomainMap, Vec<Result<ShardPlacement, ProposeError>>) {
         let mut next = known.map.clone();
         next.attempt = format_smolstr!("{}/{}", self.writer, self.attempts);
-        let verdicts = batch
+        let results = batch
             .iter()
             .map(|proposal| {
                 let index = usize::from(proposal.shard.index);
@@ -271,10 +271,10 @@
                 Ok(changed)
             })
             .collect();
-        (next, verdicts)
+        (next, results)
     }
 
-    /// Swaps the map; `None` where another one was stored, which is adopted.
+    /// Swaps the map; returns `None` if another map was stored, which is adopted instead.
     async fn swap(
         &self,
         domain: &DomainId,
@@ -289,13 +289,13 @@
         {
             SwapOutcome::Swapped(revision) => {
                 let map = next.clone();
-                self.keeper.adopt(VersionedMap { revision, map });
+                self.cache.adopt(VersionedMap { revision, map });
                 Ok(Some(()))
             }
             SwapOutcome::Conflict(Some(entry)) => {
                 if let Ok(map) = serde_json::from_str(&entry.value) {
                     let revision = entry.revision;
-                    self.keeper.adopt(VersionedMap { revision, map });
+                    self.cache.adopt(VersionedMap { revision, map });
                 }
                 Ok(None)
             }
@@ -304,16 +304,16 @@
     }
 }
 
-fn answer_all(batch: Vec<MapProposal>, error: &ProposeError) {
+fn reply_to_all(batch: Vec<MapProposal>, error: &ProposeError) {
     for proposal in batch {
-        // A proposer that is gone does not need the answer.
+        // A dropped receiver no longer needs the reply.
         let _ = proposal.reply.send(Err(error.clone()));
     }
 }
 
-fn answer_each(batch: Vec<MapProposal>, verdicts: Vec<Result<ShardPlacement, ProposeError>>) {
-    for (proposal, verdict) in batch.into_iter().zip(verdicts) {
-        // A proposer that is gone does not need the answer.
-        let _ = proposal.reply.send(verdict);
+fn reply_to_each(batch: Vec<MapProposal>, results: Vec<Result<ShardPlacement, ProposeError>>) {
+    for (proposal, result) in batch.into_iter().zip(results) {
+        // A dropped receiver no longer needs the reply.
+        let _ = proposal.reply.send(result);
     }
 }
--- a/src/shard/map.rs
+++ b/src/shard/map.rs
@@ -1,4 +1,5 @@
-//! Where the copies of a failure domain's shards are: one value in the platform's service.
+//! Shard maps: the placement of all copies of a failure domain's shards, one value in the key-value
+//! service for each domain.
 
 use serde::{Deserialize, Serialize};
 use smol_str::{SmolStr, format_smolstr};
@@ -6,26 +7,26 @@
 
 use crate::ids::{DomainId, InstanceRef, RevisionNumber, ShardEpoch};
 
-/// Prefix of the platform's keys that hold maps.
+/// Prefix of the keys of all maps in the key-value service.
 pub const MAP_PREFIX: &str = "samphiregrade/maps/";
 
-/// Key of a failure domain's map.
+/// Returns the key of a failure domain's map.
 #[must_use]
 pub fn map_key(domain: &str) -> SmolStr {
     format_smolstr!("{MAP_PREFIX}{domain}")
 }
 
-/// Where the copies of one shard are.
+/// The instances that have the copies of one shard.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ShardPlacement {
-    /// Goes up with every change.
+    /// Version of the placement, incremented by every change.
     pub epoch: ShardEpoch,
-    /// Epoch in which the shard last began empty.
+    /// Epoch in which the shard last started empty.
     pub empty_epoch: ShardEpoch,
-    /// Instance whose copy writes.
+    /// Instance with the primary's copy, which writes entries.
     pub primary: InstanceRef,
-    /// Instances whose copies have to store an entry before it counts.
+    /// Instances that have to store an entry before its effects are exposed.
     pub backups: Vec<InstanceRef>,
 }
 
@@ -37,23 +38,23 @@
     }
 }
 
-/// Where the copies of a failure domain's shards are.
+/// The placements of all shards of a failure domain.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct DomainMap {
     /// The failure domain.
     pub domain: DomainId,
-    /// Unique to the swap that stored this value, to recognise it after a lost reply.
+    /// Unique identifier of the swap that stored this value, by which it is recognised if the reply is lost.
     pub attempt: SmolStr,
-    /// The shards in order of their numbers.
+    /// The placements in order of the shards' numbers.
     pub shards: Vec<ShardPlacement>,
 }
 
-/// A map with the revision at which the platform's service stored it.
+/// A map with the revision at which the key-value service stored it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct VersionedMap {
-    /// Revision; 0 where none is stored yet.
+    /// Revision; 0 if the map is not stored yet.
     pub revision: RevisionNumber,
     /// The map.
     pub map: DomainMap,
@@ -64,18 +65,18 @@
 pub struct MapDelta {
     /// The failure domain.
     pub domain: DomainId,
-    /// Revision that the changes start from.
+    /// Revision of the older map.
     pub base: RevisionNumber,
-    /// Revision that they lead to.
+    /// Revision of the newer map.
     pub revision: RevisionNumber,
-    /// Unique to the swap that stored the newer map.
+    /// Unique identifier of the swap that stored the newer map.
     pub attempt: SmolStr,
-    /// The changed placements with their shards' numbers.
+    /// The changed placements with the numbers of their shards.
     pub changes: Vec<(u16, ShardPlacement)>,
 }
 
 impl VersionedMap {
-    /// Returns what changed from an older map, whose shards have the same numbers.
+    /// Computes the changes from an older map of the same domain, which has the same shard numbers.
     #[must_use]
     pub fn delta_from(&self, older: &Self) -> MapDelta {
         let pairs = self.map.shards.iter().zip(&older.map.shards);
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Returns the newer map, where the changes start from this one.
+    /// Returns the newer map, or `None` if the delta does not start from this map.
     #[must_use]
     pub fn with_delta(&self, delta: &MapDelta) -> Option<Self> {
         if delta.base != self.revision || delta.domain != self.map.domain {
@@ -119,35 +120,35 @@
         /// Instances that lose their copies, the old primary among them.
         without: Vec<InstanceRef>,
     },
-    /// The primary goes on without some backups.
+    /// The primary removes some backups.
     DropBackups(Vec<InstanceRef>),
-    /// An instance that has got a whole copy becomes a backup.
+    /// An instance that has installed a snapshot becomes a backup.
     AddBackup(InstanceRef),
     /// The primary and a backup exchange their roles.
     HandOver(InstanceRef),
-    /// Every process with a copy has ended; an instance goes on with its complete copy from disk.
+    /// Every process with a copy has ended; an instance becomes primary with its complete copy on disk.
     Restore(InstanceRef),
-    /// No copy is left: the shard begins empty at an instance.
+    /// No copy is left; the shard starts empty at an instance.
     Reset(InstanceRef),
 }
 
-/// A change that does not fit the map any more.
+/// The reason why a change does not apply to the current placement.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum MapConflict {
-    /// The shard's placement has changed since.
-    #[error("the placement has changed; look at the new one and decide again")]
+    /// The placement has changed since the decision was made.
+    #[error("the shard's placement has changed; read the new placement and decide again")]
     EpochChanged,
-    /// The instance has no copy, or has one already.
-    #[error("the instance's copy is not as the change supposes; look at the placement again")]
+    /// The change requires that the instance has a copy, or that it has none.
+    #[error("the change does not match the instance's current role; read the placement again")]
     WrongMember,
 }
 
 impl ShardPlacement {
-    /// Applies a change that was decided on when the placement had the given epoch.
+    /// Returns the placement after a change that was decided at the expected epoch.
     ///
     /// # Errors
     ///
-    /// Returns [`MapConflict`] where the placement has changed or does not fit the change.
+    /// Returns [`MapConflict`] if the epoch differs or the change does not apply to the members.
     pub fn with_change(
         &self,
         expected: ShardEpoch,
@@ -164,11 +165,15 @@
                     return Err(MapConflict::WrongMember);
                 }
                 next.primary = by.clone();
-                next.backups = self.members().filter(|one| *one != by).cloned().collect();
-                next.backups.retain(|one| !without.contains(one));
+                next.backups = self
+                    .members()
+                    .filter(|member| *member != by)
+                    .cloned()
+                    .collect();
+                next.backups.retain(|backup| !without.contains(backup));
             }
             MapChange::DropBackups(dropped) => {
-                next.backups.retain(|one| !dropped.contains(one));
+                next.backups.retain(|backup| !dropped.contains(backup));
             }
             MapChange::AddBackup(added) => {
                 if self.has_member(added) {
@@ -177,10 +182,10 @@
                 next.backups.push(added.clone());
             }
             MapChange::HandOver(to) => {
-                let Some(place) = next.backups.iter().position(|one| one == to) else {
+                let Some(position) = next.backups.iter().position(|backup| backup == to) else {
                     return Err(MapConflict::WrongMember);
                 };
-                next.backups[place] = std::mem::replace(&mut next.primary, to.clone());
+                next.backups[position] = std::mem::replace(&mut next.primary, to.clone());
             }
             MapChange::Restore(to) => {
                 if !self.members().any(|member| member.name == to.name) {
@@ -204,14 +209,14 @@
     }
 }
 
-/// Composes the first map of a failure domain: primaries and backups spread over its instances.
+/// Composes the first map of a failure domain, with primaries and backups spread over its instances.
 ///
-/// Every shard gets a backup in the domain where there are two instances, and one in another domain
-/// where `remote` is not empty.
+/// Every shard gets a backup in the domain if the domain has at least two instances, and one in another
+/// domain if `remote` is not empty.
 ///
 /// # Panics
 ///
-/// Panics where `local` is empty.
+/// Panics if `local` is empty.
 #[must_use]
 pub fn initial_map(
     domain: &DomainId,
@@ -222,9 +227,9 @@
     let placements = (0..usize::from(shards)).map(|index| {
         let mut backups = Vec::new();
         if local.len() > 1 {
-            // The backup moves on by one with each round over the primaries.
-            let step = 1 + (index / local.len()) % (local.len() - 1);
-            backups.push(local[(index + step) % local.len()].clone());
+            // The distance between primary and backup grows by one with each round over the instances.
+            let distance = 1 + (index / local.len()) % (local.len() - 1);
+            backups.push(local[(index + distance) % local.len()].clone());
         }
         if !remote.is_empty() {
             backups.push(remote[index % remote.len()].clone());
--- a/src/shard/mod.rs
+++ b/src/shard/mod.rs
@@ -1,8 +1,8 @@
-//! Shards: their copies, how the copies agree, and where they are placed.
+//! Shards: the copies of each shard, the replication protocol, and the placement of the copies.
 //!
-//! The rules are pure: [`ShardCopy`] takes entries and whole copies and says what became of them,
-//! [`DomainMap`] takes changes of placement, [`decide_role`] says what a copy becomes under a map. The
-//! task around a copy does the I/O.
+//! The rules do no I/O: [`ShardCopy`] stores log entries and snapshots and returns a verdict on them,
+//! [`ShardPlacement`] applies placement changes, and [`decide_role`] derives the role of a copy from a
+//! placement. The task that owns a copy does the I/O.
 
 mod actor;
 mod command;
--- a/src/shard/primary.rs
+++ b/src/shard/primary.rs
@@ -1,4 +1,5 @@
-//! A copy that serves as primary: it decides, stores at every backup, and only then answers.
+//! The primary's copy of a shard: decides on commands, stores the entries at every backup, and replies
+//! only after that.
 
 mod replicate;
 mod stage;
@@ -19,7 +20,7 @@
 use super::stream::StreamBuffer;
 use crate::ids::{InstanceRef, ProgramId, SequenceNumber, ShardEpoch, ShardId, UpstreamName};
 
-/// The copy is not the primary's any more, or can't know whether it is.
+/// The copy is no longer the primary's, or it is unknown whether it is.
 #[derive(Clone, Copy, Debug)]
 pub struct DeposedError;
 
@@ -33,7 +34,7 @@
     idempotent: bool,
 }
 
-/// A primary's copy with what is under way.
+/// A primary's copy with its running calls and pending work.
 #[derive(Debug)]
 pub struct PrimaryState {
     shard: ShardId,
@@ -42,20 +43,24 @@
     copy: ShardCopy<PrimaryRole>,
     backups: Vec<InstanceRef>,
     running: HashMap<CallKey, RunningCall>,
-    /// Dispatches that must not come twice, held back while the remote copy is out of reach.
-    parked: Vec<DispatchJob>,
+    /// Dispatches of non-idempotent calls, deferred while the state is detached.
+    deferred: Vec<DispatchJob>,
+    /// Whether entries are replicated within the shard's own failure domain only.
     detached: bool,
     draining: bool,
+    /// Engines' holds on prefixes, with the time of the last request; for holds taken over from an
+    /// earlier primary, the start of the term.
     holds: HashMap<(ProgramId, UpstreamName), Instant>,
-    /// Place before the entries that are applied here and not stored at the backups yet.
+    /// Position before the entries that are applied to this copy but not yet stored at the backups.
     staged_from: LogPosition,
-    swept: Instant,
-    repaired: Instant,
+    last_sweep: Instant,
+    last_repair: Instant,
+    /// Cancelled when this copy's term as primary ends.
     tenure: CancellationToken,
 }
 
 impl PrimaryState {
-    /// Makes the state of a copy that was just promoted.
+    /// Creates the state of a copy that was just promoted.
     pub fn new(
         shard: ShardId,
         context: Arc<ShardContext>,
@@ -73,13 +78,13 @@
             copy,
             backups,
             running: HashMap::new(),
-            parked: Vec::new(),
+            deferred: Vec::new(),
             detached: false,
             draining: false,
             holds: HashMap::new(),
             staged_from,
-            swept: now,
-            repaired: now,
+            last_sweep: now,
+            last_repair: now,
         }
     }
 
@@ -88,7 +93,7 @@
         self.copy.epoch()
     }
 
-    /// Takes a newer placement in which this instance stays primary.
+    /// Applies a newer placement in which this instance remains primary.
     pub fn adopt(&mut self, placement: &ShardPlacement) {
         if placement.epoch > self.copy.epoch() {
             self.copy.advance(placement.epoch);
@@ -96,10 +101,10 @@
         }
     }
 
-    /// Gives up the role; what was under way is left to the next primary.
-    pub fn resign(mut self, shard: &ShardId) -> ShardCopy<BackupRole> {
+    /// Ends the term as primary: cancels the running calls and leaves them to the next primary.
+    pub fn step_down(mut self, shard: &ShardId) -> ShardCopy<BackupRole> {
         log::info!(
-            "shard primary ends shard={shard} epoch={}",
+            "shard primary steps down shard={shard} epoch={}",
             self.copy.epoch()
         );
         self.tenure.cancel();
--- a/src/shard/primary/replicate.rs
+++ b/src/shard/primary/replicate.rs
@@ -1,4 +1,4 @@
-//! Storing entries at every backup, and changing the set of backups when one fails.
+//! Replication of entries to every backup, and removal of backups that have failed.
 
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -9,21 +9,21 @@
 use crate::ids::{InstanceRef, ShardEpoch, ShardId};
 use crate::link::{LinkError, PeerReply, PeerRequest};
 use crate::program::LogEntry;
-use crate::shard::actor::{APPEND_PAUSE, ENTRIES_PER_COPY, refresh_map};
+use crate::shard::actor::{APPEND_RETRY_DELAY, ENTRIES_PER_SNAPSHOT, refresh_map};
 use crate::shard::copy::{AppendReply, AppendRequest, LogPosition};
 use crate::shard::keeper::ProposeError;
 use crate::shard::map::{MapChange, ShardPlacement};
 use crate::storage::BulkStore;
 
-/// Longest wait for a backup to take a whole copy.
+/// Timeout for the installation of a snapshot at a backup.
 const INSTALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl PrimaryState {
-    /// Stores entries that are applied here at every backup of the epoch.
+    /// Stores entries that this copy has applied at every backup of the epoch.
     ///
-    /// Only after this has returned may their effects be exposed. With a failure domain cut off
-    /// from its remote copy and from the platform, the state is then `detached`: the entries are
-    /// stored within the domain only.
+    /// The effects of the entries must not be exposed before this method has returned. If the failure
+    /// domain is cut off from its remote copy and from the key-value service, the state becomes
+    /// `detached`: the entries are stored within the domain only.
     pub(super) async fn replicate(
         &mut self,
         previous: LogPosition,
@@ -38,7 +38,7 @@
         );
         let (sent, ()) = futures_util::join!(self.replicate_to_backups(previous, entries), disk);
         sent?;
-        self.persist_copy_now_and_then(previous).await;
+        self.persist_snapshot_if_due(previous).await;
         Ok(())
     }
 
@@ -60,41 +60,41 @@
                 return Ok(());
             }
             if stale {
-                // Without an answer of the platform the newest map known here has to do.
+                // If the key-value service does not respond, the newest known map is used.
                 let _ = refresh_map(&self.context, &self.shard).await;
             }
             self.follow_map()?;
             if stale {
-                self.settle_additions(&missing).await?;
+                self.resolve_additions(&missing).await?;
             }
             request.epoch = self.copy.epoch();
-            missing.retain(|one| self.backups.contains(one));
+            missing.retain(|backup| self.backups.contains(backup));
             if missing.is_empty() {
                 return Ok(());
             }
             if self.drop_suspected(&missing).await? {
                 return Ok(());
             }
-            missing.retain(|one| self.backups.contains(one));
-            tokio::time::sleep(APPEND_PAUSE).await;
+            missing.retain(|backup| self.backups.contains(backup));
+            tokio::time::sleep(APPEND_RETRY_DELAY).await;
         }
     }
 
-    /// Puts a whole copy on the disk in place of the entries, once there are many.
-    async fn persist_copy_now_and_then(&self, previous: LogPosition) {
+    /// Writes a snapshot to disk in place of the entries, once every [`ENTRIES_PER_SNAPSHOT`] entries.
+    async fn persist_snapshot_if_due(&self, previous: LogPosition) {
         let position = self.copy.position();
         let Some(store) = &self.context.store else {
             return;
         };
-        if position.index / ENTRIES_PER_COPY != previous.index / ENTRIES_PER_COPY {
+        if position.index / ENTRIES_PER_SNAPSHOT != previous.index / ENTRIES_PER_SNAPSHOT {
             store
                 .replace(&self.shard, self.copy.epoch(), position, self.copy.table())
                 .await;
         }
     }
 
-    /// Puts the whole copy on the disk at the begin of a tenure.
-    pub(super) async fn persist_whole(&self) {
+    /// Writes a snapshot to disk at the start of a term as primary.
+    pub(super) async fn persist_snapshot(&self) {
         if let Some(store) = &self.context.store {
             let position = self.copy.position();
             store
@@ -103,49 +103,60 @@
         }
     }
 
-    /// Asks for a change of the placement that this copy is in.
-    pub(super) async fn ask_map(&self, change: MapChange) -> Result<ShardPlacement, ProposeError> {
+    /// Proposes a change of the shard's placement at this copy's epoch.
+    pub(super) async fn propose_change(
+        &self,
+        change: MapChange,
+    ) -> Result<ShardPlacement, ProposeError> {
         let maps = &self.context.maps;
         maps.propose(&self.shard, self.copy.epoch(), change).await
     }
 
-    /// Takes those out of the map, for certain, whose addition never got an answer.
+    /// Removes the backups whose addition got no reply, so that the map certainly does not list them.
     ///
-    /// Such a backup is in the epoch that its addition would have begun and refuses this one; until
-    /// the map says which of the two it is, no entry can be stored.
-    async fn settle_additions(&mut self, missing: &[InstanceRef]) -> Result<(), DeposedError> {
+    /// Such a backup already has the epoch that its addition would have started and refuses entries of
+    /// the current one. No entry can be stored until the map shows whether the addition was made.
+    async fn resolve_additions(&mut self, missing: &[InstanceRef]) -> Result<(), DeposedError> {
         let placement = self.context.maps.placement(&self.shard);
-        let Some(placement) = placement.filter(|one| one.epoch == self.copy.epoch()) else {
+        let Some(placement) = placement.filter(|placement| placement.epoch == self.copy.epoch())
+        else {
             return Ok(());
         };
-        let doubtful: Vec<InstanceRef> = missing
+        let unconfirmed: Vec<InstanceRef> = missing
             .iter()
-            .filter(|one| !placement.has_member(one))
+            .filter(|backup| !placement.has_member(backup))
             .cloned()
             .collect();
-        if doubtful.is_empty() {
+        if unconfirmed.is_empty() {
             return Ok(());
         }
-        match self.ask_map(MapChange::DropBackups(doubtful)).await {
+        match self
+            .propose_change(MapChange::DropBackups(unconfirmed))
+            .await
+        {
             Ok(placement) => self.adopt(&placement),
             Err(ProposeError::Conflict(_)) => self.follow_map()?,
-            Err(error) => log::debug!("addition in doubt shard={} error={error}", self.shard),
+            Err(error) => log::debug!(
+                "shard backup addition unresolved shard={} error={error}",
+                self.shard
+            ),
         }
         Ok(())
     }
 
-    /// Returns the backups that have to store an entry now.
+    /// Returns the backups that have to store an entry in the current state.
     fn required_backups(&self) -> Vec<InstanceRef> {
         if !self.detached {
             return self.backups.clone();
         }
         let view = self.context.peers.view();
         let now = Instant::now();
-        let local = |one: &&InstanceRef| !self.is_remote(one) || !view.suspects(one, now);
-        self.backups.iter().filter(local).cloned().collect()
+        let required =
+            |backup: &&InstanceRef| !self.is_remote(backup) || !view.suspects(backup, now);
+        self.backups.iter().filter(required).cloned().collect()
     }
 
-    /// Returns whether an instance stands in another failure domain than the shard.
+    /// Returns whether an instance is known to be in another failure domain than the shard.
     pub(super) fn is_remote(&self, instance: &InstanceRef) -> bool {
         let view = self.context.peers.view();
         let record = view
@@ -154,7 +165,8 @@
         record.is_some_and(|record| record.domain != self.shard.domain)
     }
 
-    /// Sends entries to the backups that miss them; returns whether one refused the epoch.
+    /// Sends entries to the backups that have not stored them, and removes those that have from the
+    /// list; returns whether any backup refused the epoch.
     async fn send_round(
         &mut self,
         request: &AppendRequest,
@@ -174,10 +186,10 @@
             .map(|backup| self.send(backup, &message, timeout));
         let answers = join_all(sends).await;
         let mut stale = false;
-        let mut left = Vec::new();
+        let mut still_missing = Vec::new();
         for (backup, answer) in std::mem::take(missing).into_iter().zip(answers) {
             let verdict = match answer {
-                Ok(PeerReply::Append(AppendReply::Gap)) => self.send_copy(&backup).await,
+                Ok(PeerReply::Append(AppendReply::Gap)) => self.send_snapshot(&backup).await,
                 Ok(PeerReply::Append(verdict)) => Some(verdict),
                 _ => None,
             };
@@ -185,12 +197,12 @@
                 Some(AppendReply::Stored) => {}
                 Some(AppendReply::Stale) => {
                     stale = true;
-                    left.push(backup);
+                    still_missing.push(backup);
                 }
-                Some(AppendReply::Gap) | None => left.push(backup),
+                Some(AppendReply::Gap) | None => still_missing.push(backup),
             }
         }
-        *missing = left;
+        *missing = still_missing;
         stale
     }
 
@@ -209,12 +221,12 @@
         self.context.network.call(address, message, timeout).await
     }
 
-    /// Sends the whole copy to a backup.
-    async fn send_copy(&self, backup: &InstanceRef) -> Option<AppendReply> {
+    /// Sends a snapshot for the current epoch to a backup.
+    async fn send_snapshot(&self, backup: &InstanceRef) -> Option<AppendReply> {
         self.install_at(backup, self.copy.epoch()).await
     }
 
-    /// Sends the whole copy for an epoch, a bounded number at a time.
+    /// Sends a snapshot for an epoch to a backup; the number of concurrent snapshots is limited.
     pub(super) async fn install_at(&self, backup: &InstanceRef, epoch: u64) -> Option<AppendReply> {
         let _permit = self.context.install_permits.acquire().await.ok()?;
         self.context
@@ -228,7 +240,7 @@
         }
     }
 
-    /// Follows the newest known map.
+    /// Applies the newest known placement, or returns an error if it has another primary.
     pub(super) fn follow_map(&mut self) -> Result<(), DeposedError> {
         let Some(placement) = self.context.maps.placement(&self.shard) else {
             return Ok(());
@@ -243,23 +255,23 @@
         Ok(())
     }
 
-    /// Takes suspected backups out of the map; returns whether the entries count as stored now.
+    /// Removes suspected backups from the map; returns whether the entries now count as stored.
     ///
-    /// Where neither the platform nor the copies in other failure domains can be reached, the
+    /// If neither the key-value service nor any instance in another failure domain is reachable, the
     /// state becomes detached.
     async fn drop_suspected(&mut self, missing: &[InstanceRef]) -> Result<bool, DeposedError> {
         let view = self.context.peers.view();
         let now = Instant::now();
         let suspected: Vec<InstanceRef> = missing
             .iter()
-            .filter(|one| view.suspects(one, now))
+            .filter(|backup| view.suspects(backup, now))
             .cloned()
             .collect();
         if suspected.is_empty() {
             return Ok(false);
         }
         let change = MapChange::DropBackups(suspected.clone());
-        let proposed = self.ask_map(change).await;
+        let proposed = self.propose_change(change).await;
         match proposed {
             Ok(placement) => {
                 log::info!(
@@ -267,7 +279,7 @@
                     self.shard
                 );
                 self.adopt(&placement);
-                Ok(missing.iter().all(|one| !self.backups.contains(one)))
+                Ok(missing.iter().all(|backup| !self.backups.contains(backup)))
             }
             Err(ProposeError::Conflict(_)) => {
                 self.follow_map()?;
@@ -275,7 +287,7 @@
             }
             Err(ProposeError::Stopped) => Err(DeposedError),
             Err(ProposeError::KeyValue(_) | ProposeError::NoMap) => {
-                let only_remote = missing.iter().all(|one| self.is_remote(one));
+                let only_remote = missing.iter().all(|backup| self.is_remote(backup));
                 let cut_off = only_remote
                     && suspected.len() == missing.len()
                     && !view.reaches_other_domain(now);
@@ -289,7 +301,7 @@
     }
 }
 
-/// Puts entries on the disk, where there is one.
+/// Writes entries to disk if the instance has one.
 async fn persist(
     store: Option<BulkStore>,
     shard: ShardId,
--- a/src/shard/primary/stage.rs
+++ b/src/shard/primary/stage.rs
@@ -1,4 +1,4 @@
-//! Serving commands: decide on each, store the entries of all, then answer.
+//! Command processing: decides on each command of a batch, stores the entries of all, then replies.
 
 use std::sync::Arc;
 use std::time::{Instant, SystemTime};
@@ -13,12 +13,12 @@
     EndDecision, EngineHold, LogEntry, ProgramBegin, ProgramRecord, decide_begin, decide_call,
     decide_end,
 };
-use crate::shard::actor::answer_moved;
+use crate::shard::actor::reject_command;
 use crate::shard::command::{CallCommand, CallReply, DispatchResult, ProgramQuery, ShardCommand};
 use crate::shard::context::DispatchJob;
 use crate::shard::stream::StreamBuffer;
 
-/// What is to be done once the entries are stored.
+/// An action that follows once the batch's entries are stored.
 enum StagedAction {
     Begin(
         oneshot::Sender<Option<Result<BeginReply, Refusal>>>,
@@ -35,7 +35,7 @@
     Release(ProgramId, UpstreamName),
 }
 
-/// Entries to store and what follows.
+/// Entries to store, with the actions that follow.
 #[derive(Default)]
 struct StagedBatch {
     entries: Vec<LogEntry>,
@@ -47,8 +47,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`DeposedError`] where the copy is not the primary's any more; whoever waits has
-    /// been told so.
+    /// Returns [`DeposedError`] if the copy is no longer the primary's; all waiting senders have been
+    /// notified.
     pub async fn serve(&mut self, commands: Vec<ShardCommand>) -> Result<(), DeposedError> {
         let mut batch = StagedBatch::default();
         let now = SystemTime::now();
@@ -65,17 +65,17 @@
                 batch
                     .actions
                     .into_iter()
-                    .for_each(StagedAction::refuse_moved);
+                    .for_each(StagedAction::reply_not_primary);
                 return Err(error);
             }
         }
         for action in batch.actions {
-            self.act(action);
+            self.perform(action);
         }
         Ok(())
     }
 
-    /// Stores entries that were applied while they were staged.
+    /// Replicates entries that were already applied to this copy during staging.
     async fn commit_staged(&mut self, entries: Vec<LogEntry>) -> Result<(), DeposedError> {
         let previous = self.staged_from;
         let count = entries.len() as u64;
@@ -88,8 +88,8 @@
         stored
     }
 
-    /// Stores entries that no command waits for, and does what follows from them.
-    pub(super) async fn commit_quietly(
+    /// Stores entries that no command waits for, and performs the actions that follow.
+    pub(super) async fn commit_entries(
         &mut self,
         entries: Vec<LogEntry>,
     ) -> Result<(), DeposedError> {
@@ -126,10 +126,10 @@
             ShardCommand::End(program, organisation, reply) => {
                 self.stage_end(&program, &organisation, reply, now, batch);
             }
-            ShardCommand::Query(program, organisation, question) => {
-                self.answer_question(&program, &organisation, question);
+            ShardCommand::Query(program, organisation, query) => {
+                self.answer_query(&program, &organisation, query);
             }
-            ShardCommand::DispatchFinished(done) => self.stage_done(*done, now, batch),
+            ShardCommand::DispatchFinished(result) => self.stage_result(*result, now, batch),
             ShardCommand::Released(program, upstream) => {
                 self.holds.remove(&(program.clone(), upstream.clone()));
                 let known = self.copy.table().program(&program);
@@ -145,7 +145,7 @@
             }
             ShardCommand::Drain => self.draining = true,
             ShardCommand::Dump(reply) => drop(reply.send(self.dump())),
-            other @ (ShardCommand::Append(..) | ShardCommand::Install(..)) => answer_moved(other),
+            other @ (ShardCommand::Append(..) | ShardCommand::Install(..)) => reject_command(other),
         }
     }
 
@@ -177,7 +177,9 @@
         batch.actions.push(StagedAction::Begin(reply, answer));
     }
 
-    /// Refuses a program that could not be served; sub-agents belong to one that was accepted.
+    /// Returns a refusal for a program that could not be served before its deadline.
+    ///
+    /// Sub-agents are exempt because their parent program has been accepted.
     fn refuse_begin(&self, entry: &LogEntry, now: SystemTime) -> Option<Refusal> {
         match entry {
             LogEntry::Begin(begin) if begin.parent.is_none() => {
@@ -210,7 +212,7 @@
         batch.actions.push(StagedAction::End(reply, answer));
     }
 
-    fn visible(
+    fn visible_program(
         &self,
         program: &ProgramId,
         organisation: &OrganisationId,
@@ -227,7 +229,7 @@
         program: &ProgramId,
         organisation: &OrganisationId,
     ) -> Result<ProgramReply, Refusal> {
-        let record = self.visible(program, organisation)?;
+        let record = self.visible_program(program, organisation)?;
         let status = if record.is_running() {
             "running"
         } else {
@@ -242,37 +244,37 @@
         })
     }
 
-    fn answer_question(
+    fn answer_query(
         &self,
         program: &ProgramId,
         organisation: &OrganisationId,
-        question: ProgramQuery,
+        query: ProgramQuery,
     ) {
-        match question {
+        match query {
             ProgramQuery::Program(reply) => {
                 let _ = reply.send(self.program_reply(program, organisation));
             }
             ProgramQuery::History(reply) => {
-                let history = self
-                    .visible(program, organisation)
-                    .map(|record| HistoryReply {
-                        messages: record.history_before(SequenceNumber::MAX),
-                    });
+                let history =
+                    self.visible_program(program, organisation)
+                        .map(|record| HistoryReply {
+                            messages: record.history_before(SequenceNumber::MAX),
+                        });
                 let _ = reply.send(history);
             }
             ProgramQuery::Call(sequence, reply) => {
-                let _ = reply.send(self.late_answer(program, organisation, sequence));
+                let _ = reply.send(self.call_reply(program, organisation, sequence));
             }
         }
     }
 
-    fn late_answer(
+    fn call_reply(
         &self,
         program: &ProgramId,
         organisation: &OrganisationId,
         sequence: SequenceNumber,
     ) -> CallReply {
-        let record = match self.visible(program, organisation) {
+        let record = match self.visible_program(program, organisation) {
             Ok(record) => record,
             Err(refusal) => return CallReply::Refused(refusal),
         };
@@ -293,7 +295,7 @@
         CallReply::Refused(Refusal::unknown(RefusalKind::ShardUnavailable, detail))
     }
 
-    /// Returns the tokens that an allowance for all shards leaves to this one.
+    /// Returns the tokens that remain for this shard of an allowance that all shards share equally.
     fn share_left(&self, allowance: Option<TokenCount>, used: TokenCount) -> TokenCount {
         let Some(allowance) = allowance else {
             return TokenCount::MAX;
@@ -303,11 +305,11 @@
             .maps
             .map(&self.shard.domain)
             .map_or(1, |map| map.map.shards.len());
-        let parts = shards.max(1) * self.context.config.load().domain_count();
-        (allowance / parts as u64).saturating_sub(used)
+        let share_count = shards.max(1) * self.context.config.load().domain_count();
+        (allowance / share_count as u64).saturating_sub(used)
     }
 
-    fn arrival(&self, call: &CallCommand, key: &CallKey, now: SystemTime) -> CallArrival {
+    fn call_arrival(&self, call: &CallCommand, key: &CallKey, now: SystemTime) -> CallArrival {
         let config = self.context.config.load();
         let table = self.copy.table();
         let organisation = config.organisation(&call.organisation);
@@ -335,7 +337,7 @@
 
     fn stage_call(&mut self, call: CallCommand, now: SystemTime, batch: &mut StagedBatch) {
         let key = (call.program.clone(), call.sequence);
-        let arrival = self.arrival(&call, &key, now);
+        let arrival = self.call_arrival(&call, &key, now);
         let decision = decide_call(self.copy.table(), &arrival);
         let answer = match decision {
             CallDecision::Accept(intent) => {
@@ -365,7 +367,7 @@
         batch.actions.push(StagedAction::Call(call.reply, answer));
     }
 
-    /// Refuses a new call that this primary must not begin now.
+    /// Returns a refusal for a new call that this primary must not start in its current state.
     fn refuse_intent(&self, intent: &CallIntent) -> Option<Refusal> {
         let wait = self.context.settings.tick;
         if self.draining {
@@ -381,11 +383,13 @@
         self.unknown_upstream(intent)
     }
 
-    /// Refuses a new call of a model or service that no record names: it would wait for its deadline.
+    /// Returns a refusal for a new call to a model or service that no record names.
+    ///
+    /// Such a call would otherwise wait until its deadline.
     fn unknown_upstream(&self, intent: &CallIntent) -> Option<Refusal> {
         let config = self.context.config.load();
         if config.revision() == 0 {
-            // What is not known yet must not be judged.
+            // The configuration is not loaded yet, so a missing record proves nothing.
             return None;
         }
         let detail = match &intent.spec {
@@ -407,7 +411,7 @@
         &mut self,
         key: CallKey,
         intent: CallIntent,
-        again: bool,
+        redispatch: bool,
         batch: &mut StagedBatch,
     ) -> CallReply {
         let stream = Arc::new(StreamBuffer::default());
@@ -434,8 +438,8 @@
                     .unwrap_or_default(),
                 holding_upstream: record.holds.first().cloned(),
                 failures: 0,
-                redispatch: again,
-                resolve_only: again && !idempotent,
+                redispatch,
+                resolve_only: redispatch && !idempotent,
                 stream: stream.clone(),
                 done: self.sender.clone(),
                 cancel,
@@ -447,35 +451,35 @@
         CallReply::Stream(stream)
     }
 
-    fn stage_done(&mut self, done: DispatchResult, now: SystemTime, batch: &mut StagedBatch) {
-        let key = (done.program.clone(), done.sequence);
+    fn stage_result(&mut self, result: DispatchResult, now: SystemTime, batch: &mut StagedBatch) {
+        let key = (result.program.clone(), result.sequence);
         let Some(running) = self.running.remove(&key) else {
             return;
         };
-        let result = CallResult {
-            program: done.program.clone(),
-            sequence: done.sequence,
-            outcome: done.outcome.clone(),
-            used: done.used,
+        let call_result = CallResult {
+            program: result.program.clone(),
+            sequence: result.sequence,
+            outcome: result.outcome.clone(),
+            used: result.used,
             finished: now,
         };
-        self.write(LogEntry::Result(result), batch);
-        self.stage_hold(&done, batch);
+        self.write(LogEntry::Result(call_result), batch);
+        self.stage_hold(&result, batch);
         batch
             .actions
-            .push(StagedAction::Finish(running.stream, done.outcome));
+            .push(StagedAction::Finish(running.stream, result.outcome));
     }
 
-    /// Decides whether the engine that has just served a program keeps its prefix.
-    fn stage_hold(&mut self, done: &DispatchResult, batch: &mut StagedBatch) {
-        let Some(record) = self.copy.table().program(&done.program) else {
+    /// Decides whether the engine that has just served a program should hold its prefix.
+    fn stage_hold(&mut self, result: &DispatchResult, batch: &mut StagedBatch) {
+        let Some(record) = self.copy.table().program(&result.program) else {
             return;
         };
-        let Some(upstream) = done.hold.clone() else {
+        let Some(upstream) = result.hold.clone() else {
             return;
         };
         let class = record.begin.class.clone();
-        let tokens = match &done.outcome {
+        let tokens = match &result.outcome {
             CallOutcome::Answer { usage, .. } => usage.prompt_tokens + usage.completion_tokens,
             _ => 0,
         };
@@ -484,34 +488,34 @@
         let others: Vec<UpstreamName> = record
             .holds
             .iter()
-            .filter(|one| **one != upstream || !wanted)
+            .filter(|holder| **holder != upstream || !wanted)
             .cloned()
             .collect();
         let known = record.holds.contains(&upstream);
         for other in others {
             batch
                 .actions
-                .push(StagedAction::Release(done.program.clone(), other));
+                .push(StagedAction::Release(result.program.clone(), other));
         }
         if !wanted {
             return;
         }
         if !known {
             let hold = EngineHold {
-                program: done.program.clone(),
+                program: result.program.clone(),
                 upstream: upstream.clone(),
             };
             self.write(LogEntry::Hold(hold), batch);
         }
         self.holds
-            .insert((done.program.clone(), upstream.clone()), Instant::now());
+            .insert((result.program.clone(), upstream.clone()), Instant::now());
         batch
             .actions
-            .push(StagedAction::Hold(done.program.clone(), upstream));
+            .push(StagedAction::Hold(result.program.clone(), upstream));
     }
 
-    fn act(&mut self, action: StagedAction) {
-        // Whoever is gone does not need the answer.
+    fn perform(&mut self, action: StagedAction) {
+        // A dropped receiver no longer needs the reply.
         match action {
             StagedAction::Begin(reply, answer) => drop(reply.send(Some(answer))),
             StagedAction::Call(reply, answer) => drop(reply.send(answer)),
@@ -524,17 +528,17 @@
     }
 
     pub(super) fn dispatch(&mut self, job: DispatchJob) {
-        let protected = job.intent.spec.is_idempotent() || job.resolve_only || !self.detached;
-        if protected {
+        let may_dispatch = job.intent.spec.is_idempotent() || job.resolve_only || !self.detached;
+        if may_dispatch {
             self.context.dispatch.dispatch(job);
         } else {
-            self.parked.push(job);
+            self.deferred.push(job);
         }
     }
 }
 
 impl StagedAction {
-    fn refuse_moved(self) {
+    fn reply_not_primary(self) {
         match self {
             Self::Begin(reply, _) => drop(reply.send(None)),
             Self::Call(reply, _) => drop(reply.send(CallReply::NotPrimary)),
--- a/src/shard/primary/tenure.rs
+++ b/src/shard/primary/tenure.rs
@@ -1,4 +1,4 @@
-//! What a primary does of its own accord: repair, release, sweep and hand-over.
+//! Periodic work of a primary: replacing backups, releasing holds, sweeping programs and handing over.
 
 use std::time::{Duration, Instant, SystemTime};
 
@@ -13,31 +13,31 @@
 use crate::shard::keeper::ProposeError;
 use crate::shard::map::MapChange;
 
-/// Time between two sweeps of old programs.
+/// Interval between sweeps of expired programs.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two looks at missing backups.
+/// Interval between checks for missing or departing backups.
 const REPAIR_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a call that nobody waits for goes on.
+/// Time for which an idempotent call continues without a reader.
 const UNREAD_GRACE: Duration = Duration::from_secs(15);
 
-/// Pauses between two tries to release a hold: the first, and the longest.
-const RELEASE_PAUSES: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(5));
+/// Backoff between attempts to release a hold: the initial and the maximum delay.
+const RELEASE_BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(5));
 
-/// Pause between two readings of a map that a hand-over may have changed.
-const DOUBT_PAUSE: Duration = Duration::from_millis(200);
+/// Delay between reads of the map after a hand-over whose outcome is unknown.
+const HAND_OVER_READ_DELAY: Duration = Duration::from_millis(200);
 
 impl PrimaryState {
-    /// Brings every backup to this copy's state, then takes up what an earlier primary left.
+    /// Brings every backup to this copy's state, then takes over the holds of the earlier primary.
     ///
     /// # Errors
     ///
-    /// Returns [`DeposedError`] where another has become primary meanwhile.
+    /// Returns [`DeposedError`] if another instance has become primary meanwhile.
     pub async fn begin_tenure(&mut self) -> Result<(), DeposedError> {
         self.replicate(self.copy.position(), Vec::new()).await?;
         self.staged_from = self.copy.position();
-        self.persist_whole().await;
+        self.persist_snapshot().await;
         let now = Instant::now();
         let mut ended = Vec::new();
         for (program, record) in self.copy.table().programs() {
@@ -56,43 +56,43 @@
         Ok(())
     }
 
-    /// Does what is due.
+    /// Performs the periodic work that is due.
     ///
     /// # Errors
     ///
-    /// Returns [`DeposedError`] where the copy is not the primary's any more.
+    /// Returns [`DeposedError`] if the copy is no longer the primary's.
     pub async fn tick(&mut self) -> Result<(), DeposedError> {
         self.follow_map()?;
-        self.attach_again().await?;
+        self.reattach().await?;
         self.cancel_unread();
-        self.release_old_holds();
-        if self.swept.elapsed() >= SWEEP_INTERVAL {
-            self.swept = Instant::now();
+        self.release_expired_holds();
+        if self.last_sweep.elapsed() >= SWEEP_INTERVAL {
+            self.last_sweep = Instant::now();
             let retention = self.context.settings.retention;
             let entries = sweep_expired(self.copy.table(), SystemTime::now(), retention);
-            self.commit_quietly(entries).await?;
+            self.commit_entries(entries).await?;
         }
-        if self.repaired.elapsed() >= REPAIR_INTERVAL {
-            self.repaired = Instant::now();
-            self.drop_leaving().await?;
+        if self.last_repair.elapsed() >= REPAIR_INTERVAL {
+            self.last_repair = Instant::now();
+            self.drop_unavailable_backups().await?;
             self.add_backup().await?;
             self.balance().await?;
         }
         Ok(())
     }
 
-    /// Ends the detached state once the remote copy or the platform is back.
-    async fn attach_again(&mut self) -> Result<(), DeposedError> {
+    /// Ends the detached state once the remote copies or the key-value service are reachable again.
+    async fn reattach(&mut self) -> Result<(), DeposedError> {
         if !self.detached {
             return Ok(());
         }
         let view = self.context.peers.view();
         let now = Instant::now();
-        let remote_back = self
+        let remote_reachable = self
             .backups
             .iter()
-            .all(|one| !self.is_remote(one) || !view.suspects(one, now));
-        if !remote_back && refresh_map(&self.context, &self.shard).await.is_err() {
+            .all(|backup| !self.is_remote(backup) || !view.suspects(backup, now));
+        if !remote_reachable && refresh_map(&self.context, &self.shard).await.is_err() {
             return Ok(());
         }
         self.detached = false;
@@ -100,20 +100,20 @@
         if self.detached {
             return Ok(());
         }
-        log::info!("shard attached again shard={}", self.shard);
-        for job in std::mem::take(&mut self.parked) {
+        log::info!("shard reattached shard={}", self.shard);
+        for job in std::mem::take(&mut self.deferred) {
             self.dispatch(job);
         }
         Ok(())
     }
 
-    /// Cancels idempotent calls that nobody has waited for lately.
+    /// Cancels idempotent calls that have had no reader for [`UNREAD_GRACE`].
     fn cancel_unread(&mut self) {
         let now = Instant::now();
         self.running.retain(|_, call| {
             let unread = call.stream.unread_since();
-            let long = unread.is_some_and(|since| now.duration_since(since) > UNREAD_GRACE);
-            if !long || !call.idempotent {
+            let abandoned = unread.is_some_and(|since| now.duration_since(since) > UNREAD_GRACE);
+            if !abandoned || !call.idempotent {
                 return true;
             }
             call.cancel.cancel();
@@ -122,78 +122,78 @@
         });
     }
 
-    fn release_old_holds(&mut self) {
-        let longest = self.context.settings.max_hold;
+    fn release_expired_holds(&mut self) {
+        let max_hold = self.context.settings.max_hold;
         let busy = |program: &ProgramId| {
             self.copy
                 .table()
                 .program(program)
                 .is_some_and(ProgramRecord::is_busy)
         };
-        let old: Vec<(ProgramId, UpstreamName)> = self
+        let expired: Vec<(ProgramId, UpstreamName)> = self
             .holds
             .iter()
-            .filter(|((program, _), since)| since.elapsed() > longest && !busy(program))
+            .filter(|((program, _), since)| since.elapsed() > max_hold && !busy(program))
             .map(|(hold, _)| hold.clone())
             .collect();
-        for (program, upstream) in old {
+        for (program, upstream) in expired {
             self.holds.remove(&(program.clone(), upstream.clone()));
             self.release(program, upstream);
         }
     }
 
-    /// Has an engine release a program's prefix, as often as it takes.
+    /// Requests that an engine release a program's prefix, and retries until the engine confirms.
     pub(super) fn release(&self, program: ProgramId, upstream: UpstreamName) {
         let dispatch = self.context.dispatch.clone();
         let sender = self.sender.clone();
         let tenure = self.tenure.clone();
         tokio::spawn(async move {
-            let (mut pause, longest) = RELEASE_PAUSES;
+            let (mut delay, max_delay) = RELEASE_BACKOFF;
             while !tenure.is_cancelled() {
                 if dispatch.release(program.clone(), upstream.clone()).await {
-                    // A task that is gone has left the hold to the next primary.
+                    // If this copy's task has ended, the next primary takes over the hold.
                     let _ = sender.send(ShardCommand::Released(program, upstream)).await;
                     return;
                 }
-                tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(longest);
+                tokio::time::sleep(delay).await;
+                delay = (delay * 2).min(max_delay);
             }
         });
     }
 
-    /// Takes backups out of the map that are leaving, or down, before an entry has to wait.
-    async fn drop_leaving(&mut self) -> Result<(), DeposedError> {
+    /// Removes backups that are leaving or suspected from the map before an entry has to wait for them.
+    async fn drop_unavailable_backups(&mut self) -> Result<(), DeposedError> {
         let view = self.context.peers.view();
         let now = Instant::now();
-        let gone: Vec<InstanceRef> = self
+        let unavailable: Vec<InstanceRef> = self
             .backups
             .iter()
-            .filter(|one| view.is_leaving(one) || view.suspects(one, now))
+            .filter(|backup| view.is_leaving(backup) || view.suspects(backup, now))
             .cloned()
             .collect();
-        if gone.is_empty() || self.detached {
+        if unavailable.is_empty() || self.detached {
             return Ok(());
         }
-        self.propose(MapChange::DropBackups(gone)).await
+        self.change_map(MapChange::DropBackups(unavailable)).await
     }
 
-    /// Changes the map; an unanswered change is looked at again later.
-    async fn propose(&mut self, change: MapChange) -> Result<(), DeposedError> {
-        let proposed = self.ask_map(change).await;
+    /// Changes the map; a change without a reply is checked again in a later round.
+    async fn change_map(&mut self, change: MapChange) -> Result<(), DeposedError> {
+        let proposed = self.propose_change(change).await;
         match proposed {
             Ok(placement) => self.adopt(&placement),
             Err(ProposeError::Conflict(_)) => self.follow_map()?,
-            Err(error) => log::debug!("map not changed shard={} error={error}", self.shard),
+            Err(error) => log::debug!("shard map not changed shard={} error={error}", self.shard),
         }
         Ok(())
     }
 
-    /// Adds a backup where one is missing.
+    /// Adds a backup if fewer than the target number exist.
     async fn add_backup(&mut self) -> Result<(), DeposedError> {
         if self.detached || !self.context.key_value.is_reachable() {
             return Ok(());
         }
-        let Some(candidate) = self.missing_backup() else {
+        let Some(candidate) = self.choose_backup() else {
             return Ok(());
         };
         let epoch = self.copy.epoch() + 1;
@@ -201,7 +201,7 @@
             return Ok(());
         }
         let change = MapChange::AddBackup(candidate.clone());
-        let proposed = self.ask_map(change).await;
+        let proposed = self.propose_change(change).await;
         match proposed {
             Ok(placement) => {
                 log::info!("shard backup added shard={} backup={candidate}", self.shard);
@@ -210,22 +210,24 @@
             }
             Err(ProposeError::Conflict(_)) => self.follow_map(),
             Err(ProposeError::KeyValue(KeyValueError::NoAnswer(_))) => {
-                // The map may list it: from now on it has to store every entry as well.
+                // The map may list the candidate, which therefore has to store every entry from now on.
                 self.backups.push(candidate);
                 Ok(())
             }
-            // The map was certainly not changed.
+            // With any other error the map has certainly not changed.
             Err(error) => {
-                log::debug!("backup not added shard={} error={error}", self.shard);
+                log::debug!("shard backup not added shard={} error={error}", self.shard);
                 Ok(())
             }
         }
     }
 
-    fn missing_backup(&self) -> Option<InstanceRef> {
+    fn choose_backup(&self) -> Option<InstanceRef> {
         let settings = &self.context.settings;
-        let (remote, local): (Vec<_>, Vec<_>) =
-            self.backups.iter().partition(|one| self.is_remote(one));
+        let (remote, local): (Vec<_>, Vec<_>) = self
+            .backups
+            .iter()
+            .partition(|backup| self.is_remote(backup));
         if local.len() < settings.local_backups
             && let Some(candidate) = self.least_loaded(true)
         {
@@ -237,11 +239,11 @@
         None
     }
 
-    /// Chooses the instance with the fewest copies, within the shard's failure domain or outside.
+    /// Chooses the instance with the fewest copies, inside or outside the shard's failure domain.
     fn least_loaded(&self, local: bool) -> Option<InstanceRef> {
         let view = self.context.peers.view();
         let now = Instant::now();
-        let fits = |record: &&PeerRecord| {
+        let is_candidate = |record: &&PeerRecord| {
             (record.domain == self.shard.domain) == local
                 && record.heard.is_some()
                 && !record.leaving
@@ -251,8 +253,8 @@
                     .iter()
                     .any(|backup| backup.name == record.instance.name)
         };
-        // The shard's number spreads equal candidates.
-        let spread = |record: &PeerRecord| {
+        // A hash of shard and instance spreads shards over equally loaded candidates.
+        let tie_breaker = |record: &PeerRecord| {
             let text = format!("{}{}", self.shard, record.instance.name);
             blake3::hash(text.as_bytes()).as_bytes()[0]
         };
@@ -260,16 +262,22 @@
             || self
                 .backups
                 .iter()
-                .filter_map(|one| view.record(one))
-                .any(|one| one.has_disk);
+                .filter_map(|backup| view.record(backup))
+                .any(|record| record.has_disk);
         view.peers()
-            .filter(fits)
-            // The first copy on a disk comes before an even spread.
-            .min_by_key(|record| (!record.has_disk && !on_disk, record.copies, spread(record)))
+            .filter(is_candidate)
+            // At least one copy on disk has priority over even load.
+            .min_by_key(|record| {
+                (
+                    !record.has_disk && !on_disk,
+                    record.copies,
+                    tie_breaker(record),
+                )
+            })
             .map(|record| record.instance.clone())
     }
 
-    /// Hands the shard to a backup where this instance is leaving or has too many primaries.
+    /// Hands the shard over to a backup if this instance is stopping or has too many primaries.
     async fn balance(&mut self) -> Result<(), DeposedError> {
         if !self.running.is_empty() || self.detached {
             return Ok(());
@@ -279,7 +287,7 @@
         let mut local: Vec<&PeerRecord> = self
             .backups
             .iter()
-            .filter_map(|one| view.record(one))
+            .filter_map(|backup| view.record(backup))
             .filter(|record| record.domain == self.shard.domain && !record.leaving)
             .filter(|record| !view.suspects(&record.instance, now))
             .collect();
@@ -287,41 +295,41 @@
         let Some(target) = local.first() else {
             return Ok(());
         };
-        let mine = self.own_primaries(&view.me);
-        // One at a time: the shard's number decides who moves, so that not all move at once.
-        let excess = mine > target.primaries as usize + 1;
-        let turn = now.duration_since(view.since).as_millis() / 500 % 8;
-        let overloaded = excess && u128::from(self.shard.index % 8) == turn;
+        let own_primaries = self.count_primaries(&view.me);
+        // Each shard has its own time slot by its number, so that not all shards move at once.
+        let excess = own_primaries > target.primaries as usize + 1;
+        let slot = now.duration_since(view.since).as_millis() / 500 % 8;
+        let overloaded = excess && u128::from(self.shard.index % 8) == slot;
         if !self.draining && !overloaded {
             return Ok(());
         }
         self.hand_over(target.instance.clone()).await
     }
 
-    fn own_primaries(&self, me: &InstanceRef) -> usize {
+    fn count_primaries(&self, me: &InstanceRef) -> usize {
         let map = self.context.maps.map(&self.shard.domain);
         let shards = map.iter().flat_map(|map| &map.map.shards);
         shards.filter(|placement| placement.primary == *me).count()
     }
 
-    /// Hands the shard to a backup that has every entry.
+    /// Hands the shard over to a backup, which has every entry.
     async fn hand_over(&mut self, to: InstanceRef) -> Result<(), DeposedError> {
         let change = MapChange::HandOver(to);
-        let proposed = self.ask_map(change).await;
+        let proposed = self.propose_change(change).await;
         match proposed {
             Ok(_) => Err(DeposedError),
             Err(ProposeError::Conflict(_)) => self.follow_map(),
-            Err(_) => self.resolve_doubt().await,
+            Err(_) => self.await_hand_over_outcome().await,
         }
     }
 
-    /// Waits until the map has been read after a hand-over whose outcome is not known.
+    /// Waits until the map has been read after a hand-over whose outcome is unknown.
     ///
-    /// Meanwhile the other may be primary, so that nothing may be written here.
-    async fn resolve_doubt(&mut self) -> Result<(), DeposedError> {
+    /// The other instance may already be primary, so this copy must not write any entry until then.
+    async fn await_hand_over_outcome(&mut self) -> Result<(), DeposedError> {
         while refresh_map(&self.context, &self.shard).await.is_err() {
             tokio::select! {
-                () = tokio::time::sleep(DOUBT_PAUSE) => {}
+                () = tokio::time::sleep(HAND_OVER_READ_DELAY) => {}
                 () = self.context.stop.cancelled() => return Err(DeposedError),
             }
         }
--- a/src/shard/role.rs
+++ b/src/shard/role.rs
@@ -1,14 +1,14 @@
-//! What the role of a copy becomes when a map is learned: a pure decision.
+//! The role decision: a pure function of a copy's current role and the shard's placement.
 
 use super::map::ShardPlacement;
 use crate::ids::{InstanceRef, ShardEpoch};
 
-/// Role of a copy with the epochs that the decision looks at.
+/// Current role of a copy, with the epoch that the decision depends on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CurrentRole {
     /// No copy.
     Absent,
-    /// No copy of this process, but a complete one of an earlier process on the disk.
+    /// No copy in this process, but a complete copy of an earlier process on disk.
     Recovered(ShardEpoch),
     /// A backup's copy in an epoch.
     Backup(ShardEpoch),
@@ -16,40 +16,40 @@
     Primary(ShardEpoch),
 }
 
-/// What becomes of a copy.
+/// The change that a placement requires of a copy.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RoleChange {
-    /// It stays as it is.
+    /// Keeps the copy and its role.
     Keep,
-    /// It is dropped.
+    /// Drops the copy.
     Drop,
-    /// It starts empty and follows the primary.
+    /// Starts an empty copy as backup.
     StartEmptyBackup,
-    /// It starts empty and writes.
+    /// Starts an empty copy as primary.
     StartEmptyPrimary,
-    /// It becomes the primary's.
+    /// Promotes the backup to primary.
     Promote,
-    /// The copy from the disk becomes the primary's.
+    /// Promotes the copy on disk to primary.
     Restore,
-    /// It stays the primary's, with the backups of the newer map.
+    /// Keeps the primary and applies the backups of the newer map.
     Adopt,
-    /// It ceases to be the primary's and follows the next one.
+    /// Demotes the primary to a backup of the next one.
     StepDown,
 }
 
-/// Decides what becomes of an instance's copy under a placement.
+/// Decides how the role of an instance's copy changes under a placement.
 ///
-/// A copy of a newer epoch than the placement's is kept: its instance knows of a newer map already,
-/// or was sent the copy before the map could list it.
+/// A copy with a newer epoch than the placement is kept: the instance already knows a newer map, or it
+/// has received the copy before the map lists it.
 #[must_use]
 pub fn decide_role(held: CurrentRole, placement: &ShardPlacement, me: &InstanceRef) -> RoleChange {
-    let begins_empty = placement.empty_epoch == placement.epoch;
+    let starts_empty = placement.empty_epoch == placement.epoch;
     if placement.primary == *me {
         return match held {
             CurrentRole::Primary(_) => RoleChange::Adopt,
             CurrentRole::Backup(epoch) if epoch >= placement.epoch => RoleChange::Keep,
             CurrentRole::Backup(_) => RoleChange::Promote,
-            CurrentRole::Absent | CurrentRole::Recovered(_) if begins_empty => {
+            CurrentRole::Absent | CurrentRole::Recovered(_) if starts_empty => {
                 RoleChange::StartEmptyPrimary
             }
             CurrentRole::Recovered(epoch) if epoch < placement.epoch => RoleChange::Restore,
@@ -61,10 +61,10 @@
         CurrentRole::Primary(epoch) | CurrentRole::Backup(epoch) if epoch > placement.epoch => {
             RoleChange::Keep
         }
-        CurrentRole::Absent | CurrentRole::Recovered(_) if listed && begins_empty => {
+        CurrentRole::Absent | CurrentRole::Recovered(_) if listed && starts_empty => {
             RoleChange::StartEmptyBackup
         }
-        CurrentRole::Recovered(_) if !placement.members().any(|one| one.name == me.name) => {
+        CurrentRole::Recovered(_) if !placement.members().any(|member| member.name == me.name) => {
             RoleChange::Drop
         }
         CurrentRole::Absent | CurrentRole::Recovered(_) => RoleChange::Keep,
--- a/src/shard/stream.rs
+++ b/src/shard/stream.rs
@@ -1,4 +1,4 @@
-//! The text of a running answer, read by any number of callers from any offset.
+//! The text of a running call's answer, which any number of readers read from any offset.
 
 use std::sync::atomic::{AtomicU32, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,25 +16,26 @@
     closed: bool,
 }
 
-/// The text of a running answer.
+/// The text of a running call's answer.
 #[derive(Debug, Default)]
 pub struct StreamBuffer {
     state: Mutex<StreamState>,
     changed: Notify,
     readers: AtomicUsize,
-    left: Mutex<Option<Instant>>,
+    /// Time at which a reader was last dropped.
+    last_left: Mutex<Option<Instant>>,
 }
 
-/// What a reader gets.
+/// The result of a read.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamRead {
-    /// More text.
+    /// Text after the offset.
     Text(String),
-    /// The call was dispatched again; the text begins anew.
+    /// The call was dispatched again; the text starts over.
     Restarted,
-    /// The whole text was read and this is the stored outcome.
+    /// The complete text was read; contains the stored outcome.
     Finished(CallOutcome),
-    /// The answer will not be finished here; ask again.
+    /// The answer will not be completed in this buffer; the reader has to make the request again.
     Closed,
 }
 
@@ -43,13 +44,13 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds text that an engine has sent.
+    /// Appends text that an engine has sent.
     pub fn push(&self, text: &str) {
         self.state().text.push_str(text);
         self.changed.notify_waiters();
     }
 
-    /// Starts the text anew, before the call is dispatched again; readers are told.
+    /// Clears the text before the call is dispatched again, and notifies the readers.
     pub fn restart(&self) {
         let mut state = self.state();
         if state.text.is_empty() {
@@ -61,19 +62,19 @@
         self.changed.notify_waiters();
     }
 
-    /// Ends the text with the outcome, once that is stored.
+    /// Completes the text with the outcome, once the outcome is stored.
     pub fn finish(&self, outcome: CallOutcome) {
         self.state().outcome = Some(outcome);
         self.changed.notify_waiters();
     }
 
-    /// Ends the text without an outcome.
+    /// Closes the buffer without an outcome.
     pub fn close(&self) {
         self.state().closed = true;
         self.changed.notify_waiters();
     }
 
-    /// Counts a reader in, until the returned value is dropped.
+    /// Registers a reader, which is counted until it is dropped.
     #[must_use]
     pub fn reader(self: &Arc<Self>) -> StreamReader {
         self.readers.fetch_add(1, Ordering::Relaxed);
@@ -83,16 +84,19 @@
         }
     }
 
-    /// Returns since when nobody reads; `None` while somebody does.
+    /// Returns the time since which there has been no reader; `None` if there is one, or never was one.
     #[must_use]
     pub fn unread_since(&self) -> Option<Instant> {
         if self.readers.load(Ordering::Relaxed) > 0 {
             return None;
         }
-        *self.left.lock().unwrap_or_else(PoisonError::into_inner)
+        *self
+            .last_left
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for what comes after an offset in bytes.
+    /// Waits for text after an offset in bytes, or for the end of the answer.
     ///
     /// An offset within a character or beyond the stored answer counts as the end of the text.
     async fn read(&self, offset: usize, generation: &AtomicU32) -> StreamRead {
@@ -119,7 +123,7 @@
     }
 }
 
-/// A reader of a running answer.
+/// A reader of a running call's answer.
 #[derive(Debug)]
 pub struct StreamReader {
     buffer: Arc<StreamBuffer>,
@@ -127,14 +131,14 @@
 }
 
 impl StreamReader {
-    /// Waits for what comes after an offset in bytes.
+    /// Waits for text after an offset in bytes, or for the end of the answer.
     ///
     /// An offset within a character or beyond the stored answer counts as the end of the text.
     pub async fn read(&self, offset: usize) -> StreamRead {
         self.buffer.read(offset, &self.generation).await
     }
 
-    /// Waits for the outcome; `None` where the answer will not be finished here.
+    /// Waits for the outcome; returns `None` if the answer will not be completed in this buffer.
     pub async fn outcome(&self) -> Option<CallOutcome> {
         loop {
             match self.read(usize::MAX).await {
@@ -148,12 +152,12 @@
 
 impl Drop for StreamReader {
     fn drop(&mut self) {
-        let left = Some(Instant::now());
+        let last_left = Some(Instant::now());
         *self
             .buffer
-            .left
+            .last_left
             .lock()
-            .unwrap_or_else(PoisonError::into_inner) = left;
+            .unwrap_or_else(PoisonError::into_inner) = last_left;
         self.buffer.readers.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/tests/protocol_model/main.rs
+++ b/tests/protocol_model/main.rs
@@ -1,9 +1,10 @@
-//! The agreement of a shard's copies under random interleavings of messages, lost messages, crashes,
-//! pauses, lost replies of the platform and outages.
+//! Model tests of the replication protocol: random interleavings of messages, lost messages, crashes,
+//! pauses, lost replies of the key-value service and its outages.
 //!
-//! The copies, the placement's changes and the choice of roles are the product's own; the model only
-//! moves messages between them and keeps the books of what was exposed. A pause is a node that is not
-//! chosen for a while. Each guard of the protocol can be taken out, and the check has to notice it.
+//! The copies, the placement changes and the role decisions are the production code; the model only
+//! delivers messages between them and records which effects were exposed. A paused node is one that is
+//! not chosen for a number of steps. Each guard of the protocol can be disabled, and the checks must
+//! detect that.
 
 mod world;
 
@@ -11,22 +12,22 @@
 
 use world::{ModelGuards, World};
 
-/// Steps of one run.
+/// Number of steps in a run.
 const STEPS: usize = 400;
 
-/// Seeded runs with every guard in place.
-const RUNS: u64 = 3000;
+/// Number of seeded runs with every guard enabled.
+const SEEDED_RUNS: u64 = 3000;
 
-/// Random runs with every guard in place.
-const CHECKED_RUNS: u64 = 600;
+/// Number of random runs with every guard enabled.
+const RANDOM_RUNS: u64 = 600;
 
-/// Runs a world on some choices; returns the first broken promise.
+/// Runs the model on a sequence of choices; returns the first violation of an invariant.
 fn run(guards: ModelGuards, choices: &[u32]) -> Option<String> {
     let mut world = World::new(guards);
     for choice in choices {
         world.step(*choice);
-        if let Some(broken) = world.broken() {
-            return Some(broken);
+        if let Some(violation) = world.violation() {
+            return Some(violation);
         }
     }
     None
@@ -36,10 +37,10 @@
     clippy::needless_pass_by_value,
     reason = "the library passes random inputs by value"
 )]
-fn keeps_promises(choices: Vec<u32>) -> TestResult {
+fn satisfies_invariants(choices: Vec<u32>) -> TestResult {
     match run(ModelGuards::default(), &choices) {
         None => TestResult::passed(),
-        Some(broken) => TestResult::error(broken),
+        Some(violation) => TestResult::error(violation),
     }
 }
 
@@ -47,11 +48,11 @@
 fn copies_agree_under_every_interleaving_tried() {
     QuickCheck::new()
         .rng(Gen::new(STEPS))
-        .tests(CHECKED_RUNS)
-        .quickcheck(keeps_promises as fn(Vec<u32>) -> TestResult);
+        .tests(RANDOM_RUNS)
+        .quickcheck(satisfies_invariants as fn(Vec<u32>) -> TestResult);
 }
 
-/// Choices of a run, from a seed: the same in every run of the tests.
+/// Derives the choices of a run deterministically from a seed.
 fn seeded_choices(seed: u64) -> Vec<u32> {
     let mut state = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
     let mut next = || {
@@ -65,10 +66,11 @@
 
 #[test]
 fn copies_agree_in_long_seeded_runs() {
-    // The later seeds are those that notice the guard which is hardest to miss.
-    for seed in (1..=RUNS).chain(20_001..=20_200) {
-        let broken = run(ModelGuards::default(), &seeded_choices(seed));
-        assert_eq!(broken, None, "seed {seed}");
+    // The seeds from 20,001 are those that detect the disabled guard `refuse_old_epochs`, the hardest one
+    // to detect.
+    for seed in (1..=SEEDED_RUNS).chain(20_001..=20_200) {
+        let violation = run(ModelGuards::default(), &seeded_choices(seed));
+        assert_eq!(violation, None, "seed {seed}");
     }
 }
 
@@ -89,22 +91,22 @@
     assert!(dispatches > 50, "{dispatches}");
 }
 
-/// Returns whether a run from the first seed on breaks a promise.
-fn is_noticed(guards: ModelGuards, first_seed: u64) -> bool {
-    (first_seed..first_seed + RUNS).any(|seed| run(guards, &seeded_choices(seed)).is_some())
+/// Returns whether any run from the first seed on violates an invariant.
+fn is_detected(guards: ModelGuards, first_seed: u64) -> bool {
+    (first_seed..first_seed + SEEDED_RUNS).any(|seed| run(guards, &seeded_choices(seed)).is_some())
 }
 
 #[test]
 fn a_missing_guard_is_noticed() {
-    let whole = ModelGuards::default();
-    // The first seed is near the first run that notices, to keep the test short.
-    let broken = [
+    let all_guards = ModelGuards::default();
+    // The first seed is close to the first run that detects the disabled guard, to keep the test short.
+    let cases = [
         (
             "wait for every backup",
             1,
             ModelGuards {
                 wait_for_every_backup: false,
-                ..whole
+                ..all_guards
             },
         ),
         (
@@ -112,7 +114,7 @@
             1,
             ModelGuards {
                 expect_placement: false,
-                ..whole
+                ..all_guards
             },
         ),
         (
@@ -120,7 +122,7 @@
             1,
             ModelGuards {
                 align_copies_first: false,
-                ..whole
+                ..all_guards
             },
         ),
         (
@@ -128,7 +130,7 @@
             1,
             ModelGuards {
                 store_before_dispatch: false,
-                ..whole
+                ..all_guards
             },
         ),
         (
@@ -136,7 +138,7 @@
             20_001,
             ModelGuards {
                 refuse_old_epochs: false,
-                ..whole
+                ..all_guards
             },
         ),
         (
@@ -144,14 +146,14 @@
             1,
             ModelGuards {
                 settle_addition: false,
-                ..whole
+                ..all_guards
             },
         ),
     ];
-    for (name, first_seed, guards) in broken {
+    for (name, first_seed, guards) in cases {
         assert!(
-            is_noticed(guards, first_seed),
-            "nobody noticed the missing guard: {name}"
+            is_detected(guards, first_seed),
+            "no run detected the disabled guard: {name}"
         );
     }
 }
--- a/tests/protocol_model/world.rs
+++ b/tests/protocol_model/world.rs
@@ -1,4 +1,5 @@
-//! A shard's copies on a few nodes, the platform's map, and everything that is in flight.
+//! The model: a shard's copies on a few nodes, the map in the key-value service, and all messages in
+//! transit.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, SystemTime};
@@ -10,27 +11,27 @@
     PrimaryRole, RoleChange, ShardCopy, ShardPlacement, decide_role,
 };
 
-/// Nodes of the model.
+/// Number of nodes in the model.
 const NODES: usize = 4;
 
-/// Calls that must not be dispatched twice.
+/// Number of calls that must not be dispatched twice.
 const CALLS: u32 = 3;
 
-/// Guards of the protocol, each of which can be taken out.
+/// Guards of the protocol, each of which can be disabled.
 #[derive(Clone, Copy, Debug)]
 #[expect(clippy::struct_excessive_bools, reason = "independent switches")]
 pub struct ModelGuards {
-    /// An effect is exposed only once every backup has stored the entry.
+    /// An effect is exposed only after every backup has stored the entry.
     pub wait_for_every_backup: bool,
-    /// A swap is conditional on the placement that it was decided on.
+    /// A swap applies only to the placement for which it was decided.
     pub expect_placement: bool,
-    /// A new primary brings every backup to its own state before it serves.
+    /// A new primary brings every backup to its own state before it serves commands.
     pub align_copies_first: bool,
-    /// A call is dispatched only once its intent is stored.
+    /// A call is dispatched only after its intent is stored.
     pub store_before_dispatch: bool,
-    /// A node without a copy refuses epochs older than the map it knows.
+    /// A node refuses requests of epochs older than its known map, even if it has no copy.
     pub refuse_old_epochs: bool,
-    /// A backup whose addition is in doubt counts as one until the doubt is settled.
+    /// A backup whose addition is unconfirmed counts as a backup until the addition is resolved.
     pub settle_addition: bool,
 }
 
@@ -47,7 +48,7 @@
     }
 }
 
-/// What follows once entries are stored everywhere.
+/// The effect of entries once every backup has stored them.
 #[derive(Clone, Debug, PartialEq)]
 enum Effect {
     Align,
@@ -56,7 +57,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Pending {
+struct PendingAppend {
     request: AppendRequest,
     missing: Vec<InstanceRef>,
     effect: Effect,
@@ -67,7 +68,7 @@
     copy: ShardCopy<PrimaryRole>,
     backups: Vec<InstanceRef>,
     aligned: bool,
-    pending: Option<Pending>,
+    pending: Option<PendingAppend>,
 }
 
 #[derive(Clone, Debug)]
@@ -85,7 +86,7 @@
     swap: Option<PlannedSwap>,
 }
 
-/// A change that a node waits for the platform's answer to.
+/// A map change for which a node awaits the reply of the key-value service.
 #[derive(Clone, Debug, PartialEq)]
 struct PlannedSwap {
     attempt: u64,
@@ -109,18 +110,18 @@
     Swapped(InstanceRef, u64, ShardPlacement),
 }
 
-/// The whole model.
+/// The complete state of the model.
 pub struct World {
     guards: ModelGuards,
     nodes: Vec<ModelNode>,
     map: ShardPlacement,
     attempts: u64,
-    platform_up: bool,
+    service_up: bool,
     messages: Vec<Message>,
     written: u32,
     exposed: BTreeSet<ProgramId>,
     dispatched: BTreeMap<ProgramId, u32>,
-    broken: Option<String>,
+    violation: Option<String>,
     takeovers: usize,
 }
 
@@ -147,7 +148,7 @@
 }
 
 impl World {
-    /// Starts a world: node 0 is primary, nodes 1 and 2 are backups, node 3 is spare.
+    /// Creates a model with node 0 as primary, nodes 1 and 2 as backups, and node 3 without a copy.
     pub fn new(guards: ModelGuards) -> Self {
         let instances: Vec<InstanceRef> = (0..NODES)
             .map(|number| InstanceRef {
@@ -175,12 +176,12 @@
             nodes,
             map,
             attempts: 0,
-            platform_up: true,
+            service_up: true,
             messages: Vec::new(),
             written: 0,
             exposed: BTreeSet::new(),
             dispatched: BTreeMap::new(),
-            broken: None,
+            violation: None,
             takeovers: 0,
         };
         for node in 0..NODES {
@@ -189,9 +190,9 @@
         world
     }
 
-    /// Returns the first broken promise.
-    pub fn broken(&self) -> Option<String> {
-        self.broken.clone()
+    /// Returns the violation of an invariant that was found, if any.
+    pub fn violation(&self) -> Option<String> {
+        self.violation.clone()
     }
 
     pub fn exposed_count(&self) -> usize {
@@ -206,27 +207,27 @@
         self.dispatched.len()
     }
 
-    /// Does one step, chosen by the number.
+    /// Performs one step, which the number selects.
     pub fn step(&mut self, choice: u32) {
         let node = (choice >> 8) as usize % NODES;
         let detail = choice >> 12;
         match choice % 32 {
             0..=13 => self.deliver(detail, choice & 0x80 != 0),
-            14 => self.lose(detail),
+            14 => self.drop_message(detail),
             19 | 20 => self.call(node, detail),
-            21 => self.send_again(node),
+            21 => self.resend(node),
             22 | 23 => self.take_over(node, detail),
             24 => self.drop_backup(node, detail),
             25 | 26 => self.add_backup(node, detail),
             27 => self.hand_over(node, detail),
             28 if detail.is_multiple_of(4) => self.crash(node),
             29 | 30 => self.learn_map(node),
-            31 if !self.platform_up || detail.is_multiple_of(8) => {
-                self.platform_up = !self.platform_up;
+            31 if !self.service_up || detail.is_multiple_of(8) => {
+                self.service_up = !self.service_up;
             }
             _ => self.write(node),
         }
-        self.check_history();
+        self.check_exposed();
     }
 
     fn index(&self, instance: &InstanceRef) -> Option<usize> {
@@ -235,7 +236,7 @@
 
     // Roles
 
-    fn held(&self, node: usize) -> CurrentRole {
+    fn current_role(&self, node: usize) -> CurrentRole {
         match &self.nodes[node].role {
             NodeRole::Absent => CurrentRole::Absent,
             NodeRole::Backup(copy) => CurrentRole::Backup(copy.epoch()),
@@ -245,7 +246,7 @@
 
     fn reconcile(&mut self, node: usize) {
         let placement = self.nodes[node].known.clone();
-        let change = decide_role(self.held(node), &placement, &self.nodes[node].me);
+        let change = decide_role(self.current_role(node), &placement, &self.nodes[node].me);
         let role = std::mem::replace(&mut self.nodes[node].role, NodeRole::Absent);
         self.nodes[node].role = match (change, role) {
             (RoleChange::Keep, role) => role,
@@ -322,16 +323,16 @@
         if !guards.wait_for_every_backup {
             missing.truncate(1);
         }
-        primary.pending = Some(Pending {
+        primary.pending = Some(PendingAppend {
             request,
             missing,
             effect,
         });
-        self.send_again(node);
+        self.resend(node);
         self.settle_pending(node);
     }
 
-    fn send_again(&mut self, node: usize) {
+    fn resend(&mut self, node: usize) {
         let me = self.nodes[node].me.clone();
         let NodeRole::Primary(primary) = &mut self.nodes[node].role else {
             return;
@@ -348,7 +349,7 @@
         }
     }
 
-    /// Does what follows where nobody is missing any more.
+    /// Performs the effect of the pending append once every backup has stored it.
     fn settle_pending(&mut self, node: usize) {
         let NodeRole::Primary(primary) = &mut self.nodes[node].role else {
             return;
@@ -357,7 +358,7 @@
         let Some(pending) = &mut primary.pending else {
             return;
         };
-        pending.missing.retain(|one| backups.contains(one));
+        pending.missing.retain(|backup| backups.contains(backup));
         if !pending.missing.is_empty() {
             return;
         }
@@ -377,8 +378,8 @@
         }
     }
 
-    /// Checks that whoever the map names has everything that was ever exposed.
-    fn check_history(&mut self) {
+    /// Checks that the primary of the map has every effect that was ever exposed.
+    fn check_exposed(&mut self) {
         let Some(node) = self.index(&self.map.primary) else {
             return;
         };
@@ -392,7 +393,7 @@
             .iter()
             .find(|program| table.program(program).is_none());
         if let Some(lost) = lost {
-            self.broken = Some(format!("{} is primary without {lost}", self.map.primary));
+            self.violation = Some(format!("{} is primary without {lost}", self.map.primary));
         }
     }
 
@@ -400,7 +401,7 @@
         let count = self.dispatched.entry(program.clone()).or_default();
         *count += 1;
         if *count > 1 {
-            self.broken = Some(format!("{program} was dispatched twice"));
+            self.violation = Some(format!("{program} was dispatched twice"));
         }
     }
 
@@ -428,7 +429,7 @@
         self.replicate(node, previous, entries, Effect::Expose(program));
     }
 
-    /// A caller asks for a call that must not be dispatched twice.
+    /// Makes a call that must not be dispatched twice.
     fn call(&mut self, node: usize, detail: u32) {
         let program: ProgramId = format!("call{}", detail % CALLS).into();
         let store_first = self.guards.store_before_dispatch;
@@ -436,7 +437,7 @@
             return;
         };
         if primary.copy.table().program(&program).is_some() {
-            // The stored outcome is returned, which must not be forgotten any more either.
+            // The stored outcome is returned to the caller, so it must not be lost from now on.
             self.exposed.insert(program);
             return;
         }
@@ -464,11 +465,11 @@
     }
 
     fn take_over(&mut self, node: usize, detail: u32) {
-        if !self.platform_up {
+        if !self.service_up {
             return;
         }
         if let Some(swap) = self.nodes[node].swap.clone() {
-            // Without an answer the same swap is sent again.
+            // The same swap is sent again while there is no reply.
             let me = self.nodes[node].me.clone();
             self.messages.push(Message::Swap(me, swap));
             return;
@@ -556,7 +557,7 @@
 
     // Messages
 
-    fn lose(&mut self, detail: u32) {
+    fn drop_message(&mut self, detail: u32) {
         if !self.messages.is_empty() {
             let message = detail as usize % self.messages.len();
             self.messages.swap_remove(message);
@@ -567,11 +568,11 @@
         if self.messages.is_empty() {
             return;
         }
-        let place = detail as usize % self.messages.len();
-        let message = if twice && !matches!(self.messages[place], Message::Swapped(..)) {
-            self.messages[place].clone()
+        let position = detail as usize % self.messages.len();
+        let message = if twice && !matches!(self.messages[position], Message::Swapped(..)) {
+            self.messages[position].clone()
         } else {
-            self.messages.swap_remove(place)
+            self.messages.swap_remove(position)
         };
         match message {
             Message::Append(from, to, request) => self.on_append(from, &to, &request),
@@ -583,7 +584,7 @@
                 self.on_installed(&to, from, position, epoch);
             }
             Message::Swap(from, swap) => {
-                if self.platform_up {
+                if self.service_up {
                     self.apply_swap(&swap);
                     let map = self.map.clone();
                     self.messages
@@ -631,13 +632,13 @@
         let Some(pending) = &mut primary.pending else {
             return;
         };
-        let asked = pending.request.previous.index + pending.request.entries.len() as u64;
-        if asked != reached.index || pending.request.epoch != epoch {
+        let requested = pending.request.previous.index + pending.request.entries.len() as u64;
+        if requested != reached.index || pending.request.epoch != epoch {
             return;
         }
         match reply {
             AppendReply::Stored => {
-                pending.missing.retain(|one| one != from);
+                pending.missing.retain(|backup| backup != from);
                 self.settle_pending(node);
             }
             AppendReply::Gap => {
@@ -646,7 +647,7 @@
                     .push(Message::Install(me, from.clone(), request));
             }
             AppendReply::Stale => {
-                if self.platform_up {
+                if self.service_up {
                     self.learn_map(node);
                 }
             }
@@ -684,7 +685,7 @@
         let Some(node) = self.index(to) else { return };
         let known = self.nodes[node].known.clone();
         let waiting = self.nodes[node].swap.is_some();
-        let settle = self.guards.settle_addition;
+        let settle_addition = self.guards.settle_addition;
         let NodeRole::Primary(primary) = &mut self.nodes[node].role else {
             return;
         };
@@ -693,7 +694,7 @@
         }
         if let Some(pending) = &mut primary.pending {
             if primary.copy.epoch() == epoch {
-                pending.missing.retain(|one| *one != from);
+                pending.missing.retain(|backup| *backup != from);
                 self.settle_pending(node);
             }
             return;
@@ -702,12 +703,12 @@
         if !fits || known.has_member(&from) || waiting || !primary.aligned {
             return;
         }
-        if settle {
-            // Until the answer comes it may be a backup already.
+        if settle_addition {
+            // The candidate may already be a backup before the reply arrives.
             primary.backups.push(from.clone());
         }
         self.plan_swap(node, MapChange::AddBackup(from));
-        if !settle {
+        if !settle_addition {
             self.nodes[node].swap = None;
         }
     }
@@ -726,7 +727,7 @@
 
     // Crashes
 
-    /// Ends a process, unless it is the last that holds a copy which the map counts on.
+    /// Ends a node's process, unless it is the only one with a copy among the members of the map.
     fn crash(&mut self, node: usize) {
         let me = self.nodes[node].me.clone();
         let others = self.map.members().filter(|member| {
