--- a/crates/samphiregrade-gateway/src/fact/health.rs
+++ b/crates/samphiregrade-gateway/src/fact/health.rs
@@ -51,7 +51,7 @@
     /// Time at which a helper last received a reply of each keeper.
     indirect: Mutex<HashMap<SmolStr, Instant>>,
     samples: Mutex<SampleGroups>,
-    cut_since: Mutex<Option<Instant>>,
+    cut_off_since: Mutex<Option<Instant>>,
 }
 
 impl KeeperHealth {
@@ -125,7 +125,7 @@
     pub fn update_cut_off(&self, placement: &KeeperPlacement, now: Instant) -> bool {
         let reached = |slot: &KeeperSlot| self.is_reachable(&slot.name, now);
         let cut_off = self.served_share(placement, reached) < MIN_SERVED_SHARE;
-        let mut since = lock_ignoring_poison(&self.cut_since);
+        let mut since = lock_ignoring_poison(&self.cut_off_since);
         if since.is_some() == cut_off {
             return false;
         }
@@ -137,7 +137,7 @@
     /// Returns how long the instance has been cut off, as of the last update; zero if it isn't.
     #[must_use]
     pub fn cut_off_for(&self, now: Instant) -> Duration {
-        lock_ignoring_poison(&self.cut_since)
+        lock_ignoring_poison(&self.cut_off_since)
             .map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 
--- a/crates/samphiregrade-gateway/src/fact/reach.rs
+++ b/crates/samphiregrade-gateway/src/fact/reach.rs
@@ -23,7 +23,8 @@
 }
 
 impl KeeperClient {
-    /// Returns how long this instance has reached too few keepers to serve most programs; zero if it reaches enough.
+    /// Returns how long this instance has been cut off, that is, has reached too few keepers to serve half of the
+    /// programs; zero if it isn't cut off.
     #[must_use]
     pub fn cut_off_for(&self) -> Duration {
         self.health.cut_off_for(Instant::now())
