--- a/crates/samphiregrade-gateway/src/link.rs
+++ b/crates/samphiregrade-gateway/src/link.rs
@@ -145,7 +145,7 @@
         let receiver = self.send(address, request)?;
         match tokio::time::timeout(timeout, receiver).await {
             Err(_) => Err(LinkFailure::TimedOut),
-            Ok(Err(_)) => Err(closed("the connection failed")),
+            Ok(Err(_)) => Err(closed("the connection failed before the reply arrived")),
             Ok(Ok(bytes)) => postcard::from_bytes(&bytes).map_err(unreadable),
         }
     }
--- a/crates/samphiregrade-gateway/src/role/keeper.rs
+++ b/crates/samphiregrade-gateway/src/role/keeper.rs
@@ -177,12 +177,12 @@
                 return Ok(authority);
             }
             Ok(None) => {
-                let change = StoreWrite {
+                let write = StoreWrite {
                     key: AUTHORITY_KEY.into(),
                     expected_revision: Some(0),
                     value: serde_json::to_vec(&fresh)?,
                 };
-                if let Err(error) = store.write(&change).await {
+                if let Err(error) = store.write(&write).await {
                     log::info!("the link authority was not written: {error}; retrying");
                 }
             }
--- a/crates/samphiregrade-gateway/src/role/member.rs
+++ b/crates/samphiregrade-gateway/src/role/member.rs
@@ -306,12 +306,12 @@
         };
         let name = &self.own.name;
         let known = self.registration_revisions.get(name).copied().unwrap_or(0);
-        let change = StoreWrite {
+        let write = StoreWrite {
             key: format!("{REGISTRATION_PREFIX}{name}").into(),
             expected_revision: Some(known),
             value,
         };
-        if let Err(error) = self.store.write(&change).await {
+        if let Err(error) = self.store.write(&write).await {
             log::info!("this keeper is not registered yet: {error}; retrying");
         }
     }
@@ -320,12 +320,12 @@
         let Ok(value) = serde_json::to_vec(&next) else {
             return;
         };
-        let change = StoreWrite {
+        let write = StoreWrite {
             key: PLACEMENT_KEY.into(),
             expected_revision: Some(self.placement_revision),
             value,
         };
-        let result = self.store.write(&change).await;
+        let result = self.store.write(&write).await;
         let line = ProposalLine {
             generation: next.generation,
             slots: next.slots.iter().map(|slot| &slot.name).collect(),
@@ -350,8 +350,8 @@
         if self.reported_status == Some(completed) {
             return;
         }
-        let change = self.dialect.retirement_status(&self.own.name, completed);
-        match self.store.write(&change).await {
+        let write = self.dialect.retirement_status(&self.own.name, completed);
+        match self.store.write(&write).await {
             Ok(()) => {
                 self.reported_status = Some(completed);
                 let line = RetirementLine {
