--- a/crates/samphiregrade-bench/src/account.rs
+++ b/crates/samphiregrade-bench/src/account.rs
@@ -1,7 +1,7 @@
-//! Where programs lose time, by cause and moment, read from the logs of the instances that carried them.
+//! Reports late and failed programs by cause and time, from the logs of the instances that served them.
 //!
-//! A program is late where one of its requests came with no time left, and failed where its last request did not end
-//! well. Its cause is what went wrong with its first request that did; a late program without any was slow.
+//! A program is late if one of its requests arrived with no time left, and failed if its last request ended in an
+//! error. Its cause is the error of its first request that had one; a late program without an error counts as slow.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,7 +13,7 @@
 /// Size of the plot in pixels.
 const PLOT_SIZE: (u32, u32) = (900, 360);
 
-/// A line that tells how a request ended, as entries write it.
+/// A log line in which an entry records the end of a request.
 #[derive(Clone, Debug, Deserialize)]
 struct RequestLine {
     event: SmolStr,
@@ -35,39 +35,39 @@
 /// A request of a program.
 #[derive(Clone, Debug)]
 struct ProgramRequest {
-    /// When it came, in milliseconds.
-    came: f64,
-    /// What went wrong with it, if anything did.
+    /// Arrival time in milliseconds.
+    arrival_ms: f64,
+    /// Cause of the failure, if the request failed.
     cause: Option<SmolStr>,
     has_time: bool,
 }
 
-/// Programs that began within one window.
+/// Counts of the programs that started within one window.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WindowAccount {
-    /// Programs that began.
+    /// Programs that started.
     pub programs: usize,
-    /// Those that were late.
+    /// Programs that were late.
     pub late: usize,
-    /// Those whose last request did not end well.
+    /// Programs whose last request failed.
     pub failed: usize,
     /// Late and failed programs by cause.
     pub causes: BTreeMap<SmolStr, usize>,
 }
 
-/// The account of a run.
+/// Late and failed programs of a run, by window.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LossAccount {
     /// Length of a window in seconds.
     pub window: f64,
-    /// The windows by number, from the first request on.
+    /// The windows by number, counted from the first request.
     pub windows: BTreeMap<u64, WindowAccount>,
-    /// Lines that tell of a request and can't be read.
+    /// Lines of requests that can't be parsed.
     pub unreadable: usize,
 }
 
 impl LossAccount {
-    /// Reads logs; what stands before a line's JSON is passed over, as are lines of other events.
+    /// Reads logs. Skips the text before the JSON of a line, and lines of other events.
     #[must_use]
     pub fn read<'text, Lines>(lines: Lines, window: f64) -> Self
     where
@@ -94,7 +94,7 @@
             }
             let program = programs.entry(request.program.clone()).or_default();
             program.push(ProgramRequest {
-                came: request.time_ms - request.total_ms,
+                arrival_ms: request.time_ms - request.total_ms,
                 cause: cause_of(&request),
                 has_time: request.program_left_ms.is_none_or(|left| left > 0.0),
             });
@@ -106,20 +106,20 @@
     fn add_programs(&mut self, programs: HashMap<SmolStr, Vec<ProgramRequest>>) {
         let requests = programs.values().flatten();
         let first = requests
-            .map(|request| request.came)
+            .map(|request| request.arrival_ms)
             .fold(f64::INFINITY, f64::min);
         for mut requests in programs.into_values() {
-            requests.sort_by(|left, right| left.came.total_cmp(&right.came));
-            let began = requests.first().map_or(first, |request| request.came);
+            requests.sort_by(|left, right| left.arrival_ms.total_cmp(&right.arrival_ms));
+            let began = requests.first().map_or(first, |request| request.arrival_ms);
             let number = (began - first) / 1000.0 / self.window;
-            // Neither negative nor large: seconds of a run.
+            // The value is small and not negative: it counts the windows of a run.
             #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
             let account = self.windows.entry(number as u64).or_default();
             account.add(&requests);
         }
     }
 
-    /// Returns how many programs were late or failed, by cause, most first.
+    /// Returns the number of late and failed programs by cause, the most frequent cause first.
     #[must_use]
     pub fn causes(&self) -> Vec<(SmolStr, usize)> {
         let mut sums: BTreeMap<SmolStr, usize> = BTreeMap::new();
@@ -135,7 +135,7 @@
     ///
     /// # Errors
     ///
-    /// The drawing library's reason.
+    /// Returns the error of the drawing library.
     pub fn plot(&self) -> Result<String> {
         let mut svg = String::new();
         let bars: Vec<(f64, usize)> = self
@@ -144,7 +144,7 @@
             .map(|(number, window)| (self.second_of(*number), window.late + window.failed))
             .collect();
         let last = bars.last().map_or(0.0, |(second, _)| *second) + self.window;
-        let most = bars.iter().map(|(_, count)| *count).max().unwrap_or(0) + 1;
+        let largest = bars.iter().map(|(_, count)| *count).max().unwrap_or(0) + 1;
         {
             let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
             area.fill(&WHITE).context("drawing")?;
@@ -156,7 +156,7 @@
                 .margin(8)
                 .x_label_area_size(24)
                 .y_label_area_size(48)
-                .build_cartesian_2d(0.0..last, 0..most)
+                .build_cartesian_2d(0.0..last, 0..largest)
                 .context("drawing")?;
             chart.configure_mesh().draw().context("drawing")?;
             let drawn = bars.iter().map(|(second, count)| {
@@ -169,7 +169,7 @@
         Ok(svg)
     }
 
-    /// Returns the account as a table.
+    /// Formats the counts as a table.
     #[must_use]
     pub fn table(&self) -> String {
         let mut rows = vec!["from second  programs  late  failed  causes".to_owned()];
@@ -197,7 +197,7 @@
         rows.join("\n") + "\n"
     }
 
-    /// Numbers of windows are small.
+    /// Returns the second in which a window starts; window numbers are small enough for `f64`.
     #[allow(clippy::cast_precision_loss)]
     fn second_of(&self, number: u64) -> f64 {
         number as f64 * self.window
@@ -220,20 +220,23 @@
     }
 }
 
-/// Returns what went wrong with a request; `None` where it ended as it should, or as its program's budget says.
+/// Returns the cause of a request's failure. Returns `None` if the request succeeded, or if it was refused for its
+/// program's budget or for an unknown route or turn.
 fn cause_of(request: &RequestLine) -> Option<SmolStr> {
-    let cut = [
+    let path_failures = [
         "has not acknowledged",
         "out of reach",
         "not reached: timed out",
     ];
-    let is_cut = cut.iter().any(|text| request.detail.contains(text));
+    let is_path_failure = path_failures
+        .iter()
+        .any(|text| request.detail.contains(text));
     match request.outcome.as_str() {
         "answered" if request.status < 500 => None,
         "answered" => Some("upstream's own failure".into()),
         "over-budget" | "no-route" | "no-such-turn" => None,
         "upstream-unreachable" => Some("cut path".into()),
-        "broken" if is_cut => Some("cut path".into()),
+        "broken" if is_path_failure => Some("cut path".into()),
         "broken" | "upstream-broke-off" => Some("broken answer".into()),
         other => Some(other.into()),
     }
--- a/crates/samphiregrade-bench/src/audit.rs
+++ b/crates/samphiregrade-bench/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit: the stand-ins' own logs against what callers were told.
+//! Audits a run: compares the stand-ins' own logs with the responses that callers received.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::faults::FaultLog;
 use crate::report::{CacheCounts, ViolationCounts};
 
-/// Time after which an upstream that leaves must get no new work.
+/// Time after which a leaving upstream must receive no new work.
 const LEAVE_GRACE_MS: u64 = 4000;
 
 /// One execution of a call by an upstream.
@@ -23,7 +23,7 @@
     prompt_digest: Option<u64>,
 }
 
-/// Everything that upstreams have logged, by the calls' keys.
+/// Executions and requests that the upstreams logged, executions by call key.
 #[derive(Debug, Default)]
 struct ExecutionLog {
     by_key: HashMap<SmolStr, Vec<Execution>>,
@@ -33,7 +33,7 @@
     held_token_seconds: f64,
 }
 
-/// Splits a call's key into its program and number.
+/// Splits a call key into its program and sequence number.
 fn split_key(key: &str) -> (&str, u32) {
     let (program, sequence) = key.rsplit_once('/').unwrap_or((key, "0"));
     (program, sequence.parse().unwrap_or(0))
@@ -83,7 +83,7 @@
     }
 }
 
-/// Counts the broken promises and what became of the caches.
+/// Counts broken guarantees, and cached and recomputed tokens.
 #[must_use]
 pub fn audit(
     cluster: &Cluster,
@@ -95,8 +95,8 @@
     for note in notes {
         audit_program(note, &log, &mut counts);
     }
-    counts.order = count_disorder(&log);
-    counts.work_after_leaving = count_late_work(&log, faults);
+    counts.order = count_out_of_order(&log);
+    counts.work_after_leaving = count_work_after_leaving(&log, faults);
     counts.configuration_reverted += u64::from(faults.lost_changes);
     (counts, count_cache(&log))
 }
@@ -119,8 +119,8 @@
             counts.budget += 1;
         }
     }
-    let ended = note.verdict == ProgramVerdict::Finished;
-    if ended
+    let finished = note.verdict == ProgramVerdict::Finished;
+    if finished
         && note
             .program
             .as_ref()
@@ -138,38 +138,40 @@
     if call.told == Some(RanState::No) && !executions.is_empty() {
         counts.false_not_run += 1;
     }
-    let Some(wanted) = call.prompt_digest else {
+    let Some(expected_digest) = call.prompt_digest else {
         return;
     };
-    let others = executions
+    let mismatches = executions
         .iter()
-        .filter(|one| one.prompt_digest != Some(wanted));
-    counts.history += others.count() as u64;
+        .filter(|execution| execution.prompt_digest != Some(expected_digest));
+    counts.history += mismatches.count() as u64;
 }
 
-/// Counts calls whose first execution came before the first one of an earlier call.
-fn count_disorder(log: &ExecutionLog) -> u64 {
+/// Counts calls that were first executed before an earlier call of their program.
+fn count_out_of_order(log: &ExecutionLog) -> u64 {
     let mut programs: HashMap<&str, BTreeMap<u32, u64>> = HashMap::new();
     for (key, executions) in &log.by_key {
         let (program, sequence) = split_key(key);
-        let first = executions.iter().map(|one| one.at_ms).min().unwrap_or(0);
+        let first = executions
+            .iter()
+            .map(|execution| execution.at_ms)
+            .min()
+            .unwrap_or(0);
         programs.entry(program).or_default().insert(sequence, first);
     }
-    let disorder = programs.values().map(|calls| {
+    let out_of_order = programs.values().map(|calls| {
         let times: Vec<u64> = calls.values().copied().collect();
         times.windows(2).filter(|pair| pair[1] < pair[0]).count() as u64
     });
-    disorder.sum()
+    out_of_order.sum()
 }
 
-fn count_late_work(log: &ExecutionLog, faults: &FaultLog) -> u64 {
+fn count_work_after_leaving(log: &ExecutionLog, faults: &FaultLog) -> u64 {
     let mut count = 0;
     for (name, since) in &faults.leaving {
-        let late = log
-            .by_key
-            .values()
-            .flatten()
-            .filter(|one| one.upstream == *name && one.at_ms > since + LEAVE_GRACE_MS);
+        let late = log.by_key.values().flatten().filter(|execution| {
+            execution.upstream == *name && execution.at_ms > since + LEAVE_GRACE_MS
+        });
         count += late.count() as u64;
     }
     count
@@ -182,23 +184,24 @@
 fn count_cache(log: &ExecutionLog) -> CacheCounts {
     let mut requests: Vec<&(SmolStr, AuditEntry)> = log.requests.iter().collect();
     requests.sort_by_key(|(_, entry)| entry.at_ms);
-    let mut known: HashMap<&str, u64> = HashMap::new();
-    let mut homes: HashMap<&str, &SmolStr> = HashMap::new();
+    let mut session_tokens: HashMap<&str, u64> = HashMap::new();
+    let mut last_engines: HashMap<&str, &SmolStr> = HashMap::new();
     let mut counts = CacheCounts {
         idle_hold_token_seconds: log.held_token_seconds,
         ..CacheCounts::default()
     };
     for (engine, entry) in requests {
-        let home = homes.insert(entry.session.as_str(), engine);
-        counts.moved_requests += u64::from(home.is_some_and(|home| home != engine));
+        let last_engine = last_engines.insert(entry.session.as_str(), engine);
+        counts.moved_requests +=
+            u64::from(last_engine.is_some_and(|last_engine| last_engine != engine));
         let prompt = entry.prompt_tokens as u64;
         let cached = entry.cached_tokens as u64;
         counts.prefill_tokens += prompt - cached.min(prompt);
-        let had = known.entry(entry.session.as_str()).or_default();
-        counts.recomputed_tokens += (*had).min(prompt).saturating_sub(cached);
-        // Only whole blocks stay cached; what is shorter is always computed anew.
+        let cacheable_tokens = session_tokens.entry(entry.session.as_str()).or_default();
+        counts.recomputed_tokens += (*cacheable_tokens).min(prompt).saturating_sub(cached);
+        // Engines cache only complete blocks of 16 tokens; a shorter remainder is always recomputed.
         let blocks = (prompt + entry.completion_tokens as u64) / 16 * 16;
-        *had = (*had).max(blocks);
+        *cacheable_tokens = (*cacheable_tokens).max(blocks);
     }
     if counts.prefill_tokens > 0 {
         counts.wasted_fraction = counts.recomputed_tokens as f64 / counts.prefill_tokens as f64;
@@ -206,12 +209,12 @@
     counts
 }
 
-/// Returns from an interruption to the answer, for the calls that each one caught.
+/// Returns the time from an interruption to the response, for the calls that were interrupted.
 #[must_use]
 pub fn recovery_times(notes: &[ProgramNote], faults: &FaultLog) -> Vec<Duration> {
     let calls = notes.iter().flat_map(|note| &note.calls);
-    let caught = calls.filter(|call| call.attempts > 1);
-    caught
+    let interrupted = calls.filter(|call| call.attempts > 1);
+    interrupted
         .filter_map(|call| {
             let interruption = faults
                 .interruptions
--- a/crates/samphiregrade-bench/src/capacity.rs
+++ b/crates/samphiregrade-bench/src/capacity.rs
@@ -1,7 +1,7 @@
-//! Slopes for docs/CAPACITY.md: what one instance's control costs as the system grows.
+//! Measures the slopes of docs/CAPACITY.md: the cost of control per instance as the system grows.
 //!
-//! Each series varies one size and keeps the others. The instances are idle but for what the series
-//! is about, so that what is measured is control and not work.
+//! Each series varies one size and keeps the others constant. The instances do nothing except what the
+//! series varies, so that the measurement covers the cost of control and not of requests.
 
 use std::time::{Duration, Instant};
 
@@ -16,34 +16,34 @@
 
 use crate::cluster::{Cluster, ClusterSettings};
 
-/// Time for a cluster to settle before it is measured.
+/// Time that a cluster gets to reach a steady state before the measurement.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Time for shards to be spread evenly over many instances that started together.
+/// Time that shards get to spread evenly over many instances that started together.
 const BALANCE_TIME: Duration = Duration::from_secs(20);
 
-/// Time over which idle cost is measured.
+/// Duration of a measurement of the idle cost.
 const MEASURE_TIME: Duration = Duration::from_secs(8);
 
-/// Programs begun at the same time.
-const BEGIN_WIDTH: usize = 64;
+/// Number of concurrent requests that start programs.
+const BEGIN_CONCURRENCY: usize = 64;
 
-/// What one instance costs at one size.
+/// Cost of one instance at one size.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct CostPoint {
-    /// The size that the series varies.
+    /// Value of the size that the series varies.
     pub size: f64,
     /// Share of a core.
     pub cpu_share: f64,
     /// Memory in bytes.
     pub memory_bytes: f64,
-    /// Bytes a second sent to other instances.
+    /// Bytes sent to other instances per second.
     pub peer_bytes_per_second: f64,
-    /// Calls of the key-value service a second, over all instances.
+    /// Calls of the key-value service per second, over all instances.
     pub platform_calls_per_second: f64,
 }
 
-/// A straight line through points, with how far they lie from it.
+/// A straight line fitted to points, with its residual.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct FittedLine {
     /// Value at size 0.
@@ -54,20 +54,20 @@
     pub residual: f64,
 }
 
-/// One series with its lines.
+/// One series with its fitted lines.
 #[derive(Clone, Debug, Serialize)]
 pub struct CostSeries {
-    /// What is varied.
+    /// Name of the size that the series varies.
     pub varied: SmolStr,
-    /// The points.
+    /// The measured points.
     pub points: Vec<CostPoint>,
     /// Share of a core.
     pub cpu_share: FittedLine,
     /// Memory in bytes.
     pub memory_bytes: FittedLine,
-    /// Bytes a second.
+    /// Bytes sent to other instances per second.
     pub peer_bytes_per_second: FittedLine,
-    /// Calls a second.
+    /// Calls of the key-value service per second.
     pub platform_calls_per_second: FittedLine,
 }
 
@@ -80,11 +80,15 @@
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
         let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
         let spread: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-        let joint: f64 = points
+        let covariance: f64 = points
             .iter()
             .map(|(x, y)| (x - mean_x) * (y - mean_y))
             .sum();
-        let slope = if spread > 0.0 { joint / spread } else { 0.0 };
+        let slope = if spread > 0.0 {
+            covariance / spread
+        } else {
+            0.0
+        };
         let base = mean_y - slope * mean_x;
         let squares: f64 = points
             .iter()
@@ -118,7 +122,7 @@
     }
 }
 
-/// A small cluster that the series grow from.
+/// Returns the settings of the small cluster that every series starts from.
 fn base_settings() -> ClusterSettings {
     ClusterSettings {
         deployment: Deployment::cantabrica().with_instances(1).with_engines(3),
@@ -127,11 +131,11 @@
     }
 }
 
-/// Measures every series; to be called inside a running system.
+/// Measures every series. Must be called inside a running ntex system.
 ///
 /// # Errors
 ///
-/// Returns what could not be started.
+/// Returns an error if a cluster can't be started.
 pub async fn measure_all() -> Result<Vec<CostSeries>> {
     Ok(vec![
         measure_programs().await?,
@@ -142,7 +146,7 @@
     ])
 }
 
-/// Measures the series over the number of instances alone; to be called inside a running system.
+/// Measures only the series over the number of instances. Must be called inside a running ntex system.
 ///
 /// # Errors
 ///
@@ -151,7 +155,7 @@
     Ok(vec![measure_peers().await?])
 }
 
-/// Measures what an idle cluster costs, as the mean over its instances.
+/// Measures the cost of an idle cluster, as the mean over its instances.
 #[expect(clippy::cast_precision_loss, reason = "counters are far below 2^52")]
 async fn measure_idle(cluster: &Cluster, size: f64) -> CostPoint {
     tokio::time::sleep(SETTLE_TIME).await;
@@ -160,7 +164,7 @@
         cluster
             .instances
             .values()
-            .map(|one| one.usage().cpu.as_secs_f64())
+            .map(|instance| instance.usage().cpu.as_secs_f64())
             .sum()
     };
     let calls = |cluster: &Cluster| {
@@ -175,7 +179,7 @@
     let memory: f64 = cluster
         .instances
         .values()
-        .map(|one| one.usage().memory as f64)
+        .map(|instance| instance.usage().memory as f64)
         .sum::<f64>()
         / instances;
     let point = CostPoint {
@@ -189,7 +193,7 @@
     point
 }
 
-/// Idle programs that an instance holds a copy of: every instance of this cluster holds all.
+/// Measures the cost of idle programs by the number of program copies per instance.
 async fn measure_programs() -> Result<CostSeries> {
     let cluster = Cluster::start(ClusterSettings {
         shards: 8,
@@ -197,11 +201,11 @@
     })
     .await?;
     let mut points = vec![measure_idle(&cluster, 0.0).await];
-    let mut begun = 0;
+    let mut started_programs = 0;
     for target in [4_000, 8_000, 16_000, 32_000] {
-        begin_programs(&cluster, begun, target).await?;
-        begun = target;
-        // Each program has a primary's copy and one in another failure domain, on three instances.
+        begin_programs(&cluster, started_programs, target).await?;
+        started_programs = target;
+        // Each program has two copies, the primary's and one in another failure domain, spread over three instances.
         let copies = f64::from(target) * 2.0 / 3.0;
         points.push(measure_idle(&cluster, copies).await);
     }
@@ -217,10 +221,10 @@
         .deployment
         .domains
         .iter()
-        .map(|one| one.name.clone())
+        .map(|domain| domain.name.clone())
         .collect();
     let numbers: Vec<u32> = (from..to).collect();
-    for chunk in numbers.chunks(BEGIN_WIDTH) {
+    for chunk in numbers.chunks(BEGIN_CONCURRENCY) {
         let begins = chunk.iter().map(async |number| {
             let domain = &domains[*number as usize % domains.len()];
             let request = BeginRequest {
@@ -233,8 +237,8 @@
             };
             cluster.caller(domain).begin(&request).await
         });
-        for begun in join_all(begins).await {
-            begun.context("beginning idle programs")?;
+        for response in join_all(begins).await {
+            response.context("starting idle programs")?;
         }
     }
     Ok(())
@@ -275,10 +279,10 @@
     let mut points = Vec::new();
     for engines in [3_usize, 6, 12, 24, 48] {
         let mut deployment = Deployment::cantabrica().with_instances(1);
-        let first = deployment.engines.clone();
+        let templates = deployment.engines.clone();
         deployment.engines = (0..engines)
             .map(|number| {
-                let mut engine = first[number % first.len()].clone();
+                let mut engine = templates[number % templates.len()].clone();
                 engine.name = format_smolstr!("engine-{number}");
                 engine
             })
@@ -288,9 +292,9 @@
             ..base_settings()
         })
         .await?;
-        // Every failure domain has one instance, which reads all of the domain's engines.
-        let read = u32::try_from(engines).unwrap_or(u32::MAX);
-        points.push(measure_idle(&cluster, f64::from(read) / 3.0).await);
+        // Every failure domain has one instance, which reads the state of all engines of that domain.
+        let engine_count = u32::try_from(engines).unwrap_or(u32::MAX);
+        points.push(measure_idle(&cluster, f64::from(engine_count) / 3.0).await);
     }
     Ok(CostSeries::new("engines that an instance reads", points))
 }
@@ -307,7 +311,7 @@
                 name: format_smolstr!("organisation-{number}"),
                 spec: json!({"token-hashes": [token_hash(&format!("token-{number}"))]}),
             };
-            put_at_the_rate(&cluster, &record).await;
+            put_with_retries(&cluster, &record).await;
         }
         stored = target;
         points.push(measure_idle(&cluster, f64::from(target)).await);
@@ -315,8 +319,8 @@
     Ok(CostSeries::new("records of organisations", points))
 }
 
-/// Stores a record, as fast as the key-value service allows.
-async fn put_at_the_rate(cluster: &Cluster, record: &RecordEnvelope) {
+/// Stores a record; retries until the key-value service, which limits the rate, accepts the write.
+async fn put_with_retries(cluster: &Cluster, record: &RecordEnvelope) {
     while cluster.put_record(record).await.is_err() {
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
--- a/crates/samphiregrade-bench/src/cluster.rs
+++ b/crates/samphiregrade-bench/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Real instance processes with stand-ins around them, every link through a fault proxy.
+//! A cluster of real instance processes and stand-ins, connected through fault proxies.
 
 mod ports;
 mod process;
@@ -35,41 +35,41 @@
 use ports::free_port;
 pub use process::{InstanceProcess, ProcessUsage};
 
-/// Longest wait for the instances to become ready.
+/// Timeout for the instances to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time between two models that the weight store hands out.
+/// Interval at which the weight store publishes a new model.
 const WEIGHT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Pause between two looks.
-const READY_PAUSE: Duration = Duration::from_millis(100);
+/// Interval between two readiness checks.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a cluster is made of.
+/// Settings of a cluster.
 #[derive(Clone, Debug)]
 pub struct ClusterSettings {
-    /// The program that instances run.
+    /// Executable of the instances.
     pub binary: PathBuf,
     /// Domains, upstreams and classes.
     pub deployment: Deployment,
-    /// How work is scheduled.
+    /// Scheduling policy.
     pub policy: PolicySpec,
     /// Shards of each failure domain.
     pub shards: u16,
-    /// Engines.
+    /// Settings of every engine.
     pub engine: EngineSettings,
-    /// Services.
+    /// Settings of every service.
     pub service: ServiceSettings,
-    /// Key-value service.
+    /// Settings of the key-value service.
     pub key_value: KeyValueSettings,
-    /// How late the instance list tells.
+    /// Delay with which the instance list shows a change.
     pub list_lag: Duration,
     /// Limits of the instances.
     pub limits: LimitSection,
-    /// How shards are kept; the count is `shards`.
+    /// Shard settings; the count is replaced by `shards`.
     pub shard_section: ShardSection,
-    /// How instances watch each other.
+    /// Settings of the failure detection between instances.
     pub membership: MembershipSection,
-    /// Instances with a data folder, by name.
+    /// Names of the instances that have a data folder.
     pub with_disk: Vec<InstanceName>,
 }
 
@@ -92,28 +92,28 @@
     }
 }
 
-/// Returns the instance program that stands beside this program.
+/// Returns the path of the instance executable in the folder of this executable.
 #[must_use]
 pub fn default_binary() -> PathBuf {
     let own = std::env::current_exe().unwrap_or_default();
     let folder = own.parent().unwrap_or(Path::new(""));
-    let beside = folder.join("samphiregrade");
-    if beside.exists() {
-        return beside;
+    let candidate = folder.join("samphiregrade");
+    if candidate.exists() {
+        return candidate;
     }
-    // Test programs stand one folder deeper.
+    // Test executables are in a subfolder of the build folder.
     folder
         .parent()
         .unwrap_or(Path::new(""))
         .join("samphiregrade")
 }
 
-/// A running cluster; dropping it ends its processes.
+/// A running cluster; dropping it kills its processes.
 #[derive(Debug)]
 pub struct Cluster {
-    /// What it is made of.
+    /// Settings that the cluster was started with.
     pub settings: ClusterSettings,
-    /// Every link by name.
+    /// Proxy of every link, by the link's name.
     pub proxy: FaultProxy,
     /// The key-value service.
     pub key_value: KeyValueStandin,
@@ -123,7 +123,7 @@
     pub services: BTreeMap<UpstreamName, ServiceStandin>,
     /// The instances.
     pub instances: BTreeMap<InstanceName, InstanceProcess>,
-    /// Client for the harness's own requests.
+    /// HTTP client for the tool's own requests.
     pub pool: HttpPool,
     key_value_address: SocketAddr,
     upstream_addresses: BTreeMap<UpstreamName, SmolStr>,
@@ -148,7 +148,7 @@
     }
 }
 
-/// Addresses of an instance that is about to be started.
+/// Name and addresses of an instance that is not started yet.
 struct InstancePlan {
     name: InstanceName,
     domain: DomainId,
@@ -162,11 +162,11 @@
 }
 
 impl Cluster {
-    /// Starts a cluster and waits until it is ready; to be called inside a running system.
+    /// Starts a cluster and waits until it is ready. Must be called inside a running ntex system.
     ///
     /// # Errors
     ///
-    /// Returns what could not be started, with the instances' own words where they have any.
+    /// Returns an error if a part can't be started; for an instance that is not ready in time, with its last log lines.
     pub async fn start(settings: ClusterSettings) -> Result<Self> {
         let mut cluster = Self::start_standins(settings).await?;
         cluster.start_instances()?;
@@ -233,8 +233,11 @@
                 ..self.settings.engine.clone()
             });
             standin.start(listener)?;
-            let near = self.tcp_link(&format!("upstream/{}", engine.name), target)?;
-            addresses.insert(engine.name.clone(), format_smolstr!("http://{near}"));
+            let link_address = self.tcp_link(&format!("upstream/{}", engine.name), target)?;
+            addresses.insert(
+                engine.name.clone(),
+                format_smolstr!("http://{link_address}"),
+            );
             self.engines.insert(engine.name.clone(), standin);
         }
         for service in &deployment.services {
@@ -246,8 +249,11 @@
                 ..self.settings.service.clone()
             });
             standin.start(listener)?;
-            let near = self.tcp_link(&format!("upstream/{}", service.name), target)?;
-            addresses.insert(service.name.clone(), format_smolstr!("http://{near}"));
+            let link_address = self.tcp_link(&format!("upstream/{}", service.name), target)?;
+            addresses.insert(
+                service.name.clone(),
+                format_smolstr!("http://{link_address}"),
+            );
             self.services.insert(service.name.clone(), standin);
         }
         Ok(addresses)
@@ -268,23 +274,23 @@
 
     fn tcp_link(&self, name: &str, target: SocketAddr) -> Result<SocketAddr> {
         let listener = TcpListener::bind(loopback(0))?;
-        let near = listener.local_addr()?;
+        let link_address = listener.local_addr()?;
         self.spawn_link(self.link(name).run_tcp(listener, target));
-        Ok(near)
+        Ok(link_address)
     }
 
     fn udp_link(&self, name: &str, target: SocketAddr) -> Result<SocketAddr> {
         let socket = UdpSocket::bind(loopback(0))?;
-        let near = socket.local_addr()?;
+        let link_address = socket.local_addr()?;
         self.spawn_link(self.link(name).run_udp(socket, target));
-        Ok(near)
+        Ok(link_address)
     }
 
-    /// Stores a record, whatever was there before.
+    /// Stores a record and overwrites any earlier version.
     ///
     /// # Errors
     ///
-    /// Returns why the key-value service did not store it.
+    /// Returns the error of the key-value service.
     pub async fn put_record(&self, record: &RecordEnvelope) -> Result<u64> {
         let key = record_key(record.kind, &record.name);
         let text = serde_json::to_string(record)?;
@@ -302,7 +308,7 @@
         }
     }
 
-    /// Returns a store that reaches the key-value service beside the proxy.
+    /// Returns a client that reaches the key-value service directly, not through the proxy.
     #[must_use]
     pub fn direct_store(&self) -> EtcdGateway {
         EtcdGateway::new(
@@ -311,7 +317,7 @@
         )
     }
 
-    /// Returns the base URL of the key-value service beside the proxy.
+    /// Returns the direct base URL of the key-value service, not through the proxy.
     #[must_use]
     pub fn key_value_url(&self) -> String {
         format!("http://{}", self.key_value_address)
@@ -367,7 +373,7 @@
         Ok(())
     }
 
-    /// Starts the instance list as one instance sees it: every other one behind its own link.
+    /// Starts the instance list for one instance. Each other instance is listed with the address of a link of its own.
     fn start_list(&self, viewer: &InstancePlan, plans: &[InstancePlan]) -> Result<SocketAddr> {
         let list = InstanceListStandin::new(self.settings.list_lag);
         for plan in plans.iter().filter(|plan| plan.name != viewer.name) {
@@ -443,26 +449,26 @@
             }
             ensure!(
                 Instant::now() < deadline,
-                "not ready in time: {waiting:?}\n{}",
+                "instances not ready in time: {waiting:?}\n{}",
                 self.log_tail(&waiting[0])
             );
-            tokio::time::sleep(READY_PAUSE).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
 
-    /// Returns whether an instance says that it is ready.
+    /// Returns whether an instance reports that it is ready.
     pub async fn is_ready(&self, instance: &InstanceProcess) -> bool {
         let url = format!("{}/readyz", instance.operators);
         let request = OutgoingRequest::get(&url).with_timeout(Duration::from_secs(1));
-        let answer = self.pool.send(request).await;
-        answer.is_ok_and(|response| response.status == 200)
+        let response = self.pool.send(request).await;
+        response.is_ok_and(|response| response.status == 200)
     }
 
     /// Reads an instance's dump.
     ///
     /// # Errors
     ///
-    /// Returns why there was no dump.
+    /// Returns an error for an unknown instance or a failed request.
     pub async fn dump(&self, instance: &str) -> Result<Value> {
         let process = self.instances.get(instance).context("no such instance")?;
         let url = format!("{}/dump", process.operators);
@@ -471,7 +477,7 @@
         Ok(dump)
     }
 
-    /// Returns the last lines that an instance has logged.
+    /// Returns the last 30 lines of an instance's log.
     #[must_use]
     pub fn log_tail(&self, instance: &str) -> String {
         let path = self.folder.path().join(format!("{instance}.log"));
@@ -480,7 +486,7 @@
         lines[lines.len().saturating_sub(30)..].join("\n")
     }
 
-    /// Returns a caller that reaches the instances of a failure domain first, then the others.
+    /// Returns a client that prefers the instances of a failure domain and falls back to the others.
     #[must_use]
     pub fn caller(&self, domain: &str) -> CallerClient {
         let own = self
@@ -504,13 +510,13 @@
         self.folder.path()
     }
 
-    /// Returns an upstream's base URL, behind its link.
+    /// Returns an upstream's base URL, which leads through the upstream's link.
     #[must_use]
     pub fn direct_address(&self, upstream: &str) -> Option<SmolStr> {
         self.upstream_addresses.get(upstream).cloned()
     }
 
-    /// Returns the base URL of a program's primary, as the first instance that tells knows it.
+    /// Returns the base URL of a program's primary, by the dump of the first instance that responds.
     pub async fn primary_entry(&self, program: &str) -> Option<SmolStr> {
         let shard = ShardId::of_program(program).ok()?;
         for name in self.instances.keys() {
@@ -528,7 +534,7 @@
         None
     }
 
-    /// Returns the instance that is primary of the most shards, as any instance tells.
+    /// Returns the instance whose primary shards have the most running programs, by the instances' dumps.
     pub async fn busiest_primary(&self) -> Option<InstanceName> {
         let mut best = None;
         for name in self.instances.keys() {
--- a/crates/samphiregrade-bench/src/cluster/ports.rs
+++ b/crates/samphiregrade-bench/src/cluster/ports.rs
@@ -5,22 +5,23 @@
 use std::sync::Mutex;
 use std::sync::PoisonError;
 
-/// Ports that the system does not give to outgoing connections by itself.
+/// Ports below the range that the system assigns to outgoing connections.
 const PORTS: std::ops::Range<u16> = 10_000..32_000;
 
-/// Step between the ports at which two processes begin to look.
+/// Distance between the first ports that two processes with successive ids try.
 const PROCESS_STEP: u32 = 211;
 
-/// The port to be tried next.
-static NEXT: Mutex<Option<u16>> = Mutex::new(None);
+/// Port that is tried next.
+static NEXT_PORT: Mutex<Option<u16>> = Mutex::new(None);
 
-/// Returns a port that is free for TCP and UDP and was not given out before.
+/// Returns a port that is free for TCP and UDP. The search continues after the last port returned, so that two calls
+/// do not return the same port.
 ///
 /// # Errors
 ///
-/// Returns an error where no port is free.
+/// Returns an error if no port is free.
 pub fn free_port() -> io::Result<u16> {
-    let mut next = NEXT.lock().unwrap_or_else(PoisonError::into_inner);
+    let mut next = NEXT_PORT.lock().unwrap_or_else(PoisonError::into_inner);
     let mut port = next.unwrap_or_else(first_port);
     for _ in PORTS {
         let candidate = port;
@@ -29,9 +30,9 @@
         } else {
             PORTS.start
         };
-        let free = TcpListener::bind(("127.0.0.1", candidate)).is_ok()
+        let is_free = TcpListener::bind(("127.0.0.1", candidate)).is_ok()
             && UdpSocket::bind(("127.0.0.1", candidate)).is_ok();
-        if free {
+        if is_free {
             *next = Some(port);
             return Ok(candidate);
         }
@@ -39,7 +40,7 @@
     Err(io::Error::other("no port is free"))
 }
 
-/// Chooses where this process begins to look, so that several do not meet.
+/// Returns the first port that this process tries; it depends on the process id so that parallel processes do not collide.
 fn first_port() -> u16 {
     let count = u32::from(PORTS.end - PORTS.start);
     let offset = (std::process::id() * PROCESS_STEP) % count;
--- a/crates/samphiregrade-bench/src/cluster/process.rs
+++ b/crates/samphiregrade-bench/src/cluster/process.rs
@@ -1,4 +1,4 @@
-//! One instance process.
+//! Starts, signals and measures one instance process.
 
 use std::fs::{self, OpenOptions};
 use std::path::PathBuf;
@@ -11,7 +11,7 @@
 use samphiregrade::ids::{DomainId, InstanceName};
 use smol_str::SmolStr;
 
-/// Clock ticks in a second of the times that the system tells of processes.
+/// Clock ticks per second of the processor times in `/proc`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
 /// Bytes in a page of memory.
@@ -26,12 +26,12 @@
     pub memory: u64,
 }
 
-/// One instance process, started anew after it was killed.
+/// The process of one instance; it can be started again after it was killed.
 #[derive(Debug)]
 pub struct InstanceProcess {
     /// Name of the instance.
     pub name: InstanceName,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: DomainId,
     /// Base URL for callers, through the proxy.
     pub entry: SmolStr,
@@ -41,12 +41,12 @@
     settings: PathBuf,
     log: PathBuf,
     child: Option<Child>,
-    /// Usage of earlier processes of the instance.
+    /// Usage of the instance's earlier processes.
     earlier: ProcessUsage,
 }
 
 impl InstanceProcess {
-    /// Prepares a process.
+    /// Creates the description of a process without starting it.
     #[must_use]
     pub fn new(
         name: InstanceName,
@@ -72,13 +72,13 @@
     ///
     /// # Errors
     ///
-    /// Returns why it could not be started.
+    /// Returns an error if the log can't be opened or the executable can't be started.
     pub fn spawn(&mut self) -> Result<()> {
         let log = OpenOptions::new()
             .append(true)
             .create(true)
             .open(&self.log)
-            .with_context(|| format!("writing {}", self.log.display()))?;
+            .with_context(|| format!("opening the log {}", self.log.display()))?;
         let child = Command::new(&self.binary)
             .arg("serve")
             .arg("--settings")
@@ -92,7 +92,7 @@
         Ok(())
     }
 
-    /// Returns the number of the running process.
+    /// Returns the id of the running process.
     #[must_use]
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
@@ -102,32 +102,32 @@
         let Some(id) = self.id().and_then(|id| i32::try_from(id).ok()) else {
             return;
         };
-        // A process that has ended by itself needs no signal.
+        // The error is ignored: a process that has already ended needs no signal.
         let _ = kill(Pid::from_raw(id), signal);
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits until it has ended.
     pub fn kill(&mut self) {
         self.earlier = self.usage();
         let Some(mut child) = self.child.take() else {
             return;
         };
-        // A process that has ended by itself can't be killed, only waited for.
+        // The error of `kill` is ignored: a process that has already ended can only be waited for.
         let _ = child.kill();
         let _ = child.wait();
     }
 
-    /// Stops the process without its knowing.
+    /// Suspends the process with SIGSTOP, which the process can't detect.
     pub fn pause(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    /// Lets a paused process go on.
+    /// Continues a paused process.
     pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Asks the process to shut down gracefully.
+    /// Sends SIGTERM, on which the process shuts down gracefully.
     pub fn terminate(&self) {
         self.signal(Signal::SIGTERM);
     }
@@ -139,7 +139,7 @@
         Some(status.code().unwrap_or(-1))
     }
 
-    /// Returns the usage of the process and of those before it; the memory is the present one.
+    /// Returns the processor time of this process and its predecessors, and the current memory.
     #[must_use]
     pub fn usage(&self) -> ProcessUsage {
         let Some(id) = self.id() else {
@@ -158,7 +158,7 @@
 
 fn read_usage(id: u32) -> Option<ProcessUsage> {
     let text = fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
-    // The fields after the name, which is in brackets and may hold spaces.
+    // The fields follow the process name, which is in parentheses and may contain spaces.
     let (_, rest) = text.rsplit_once(')')?;
     let fields: Vec<&str> = rest.split_whitespace().collect();
     let ticks: f64 = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
--- a/crates/samphiregrade-bench/src/cmd/account.rs
+++ b/crates/samphiregrade-bench/src/cmd/account.rs
@@ -1,4 +1,4 @@
-//! `samphiregrade-bench account`: where programs lose time, and how late configurations were, from instances' logs.
+//! `samphiregrade-bench account`: reports late programs and late configurations from instances' logs.
 
 use std::fs;
 use std::path::PathBuf;
@@ -9,8 +9,8 @@
 use samphiregrade_bench::account::LossAccount;
 use samphiregrade_bench::lag::LagAccount;
 
-/// Length of a window in seconds, where none is named: most programs of one window meet the same fault.
-const WINDOW: f64 = 2.0;
+/// Default length of a window in seconds; short enough that most programs of a window are affected by the same fault.
+const DEFAULT_WINDOW: f64 = 2.0;
 
 /// Arguments of the command.
 pub struct AccountArguments {
@@ -21,7 +21,9 @@
 
 /// Reads the arguments.
 pub fn arguments(mut arguments: Arguments) -> Result<AccountArguments> {
-    let window = arguments.opt_value_from_str("--window")?.unwrap_or(WINDOW);
+    let window = arguments
+        .opt_value_from_str("--window")?
+        .unwrap_or(DEFAULT_WINDOW);
     let plot = arguments.opt_value_from_str("--plot")?;
     let logs: Vec<PathBuf> = arguments.finish().into_iter().map(PathBuf::from).collect();
     ensure!(!logs.is_empty(), "name at least one log file");
--- a/crates/samphiregrade-bench/src/cmd/compare.rs
+++ b/crates/samphiregrade-bench/src/cmd/compare.rs
@@ -72,7 +72,7 @@
             runs.push(run);
         }
     }
-    let kept = runs
+    let all_kept_promises = runs
         .iter()
         .all(samphiregrade_bench::report::ScenarioReport::kept_promises);
     let report = summarise(&scenario, oracle_summary(&scenario, &seeds)?, runs);
@@ -85,7 +85,7 @@
         let page = html_page(&report)?;
         fs::write(path, page).with_context(|| format!("writing {}", path.display()))?;
     }
-    Ok(if kept {
+    Ok(if all_kept_promises {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/samphiregrade-bench/src/cmd/measure.rs
+++ b/crates/samphiregrade-bench/src/cmd/measure.rs
@@ -1,4 +1,4 @@
-//! `samphiregrade-bench capacity`, `detectors` and `overhead`: slopes, detectors and costs.
+//! `samphiregrade-bench capacity`, `detectors` and `overhead`: measurements that need no scenario file.
 
 use std::fs;
 use std::path::PathBuf;
--- a/crates/samphiregrade-bench/src/cmd/mod.rs
+++ b/crates/samphiregrade-bench/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, each in a file of its own with the same two functions: `arguments`, `execute`.
+//! The commands. Each file has a function that reads the arguments and functions that execute a command.
 
 mod account;
 mod compare;
