--- a/crates/samphiregrade-bench/src/cluster.rs
+++ b/crates/samphiregrade-bench/src/cluster.rs
@@ -233,11 +233,8 @@
                 ..self.settings.engine.clone()
             });
             standin.start(listener)?;
-            let link_address = self.tcp_link(&format!("upstream/{}", engine.name), target)?;
-            addresses.insert(
-                engine.name.clone(),
-                format_smolstr!("http://{link_address}"),
-            );
+            let near = self.tcp_link(&format!("upstream/{}", engine.name), target)?;
+            addresses.insert(engine.name.clone(), format_smolstr!("http://{near}"));
             self.engines.insert(engine.name.clone(), standin);
         }
         for service in &deployment.services {
@@ -249,11 +246,8 @@
                 ..self.settings.service.clone()
             });
             standin.start(listener)?;
-            let link_address = self.tcp_link(&format!("upstream/{}", service.name), target)?;
-            addresses.insert(
-                service.name.clone(),
-                format_smolstr!("http://{link_address}"),
-            );
+            let near = self.tcp_link(&format!("upstream/{}", service.name), target)?;
+            addresses.insert(service.name.clone(), format_smolstr!("http://{near}"));
             self.services.insert(service.name.clone(), standin);
         }
         Ok(addresses)
--- a/crates/samphiregrade-bench/src/cluster/ports.rs
+++ b/crates/samphiregrade-bench/src/cluster/ports.rs
@@ -40,7 +40,8 @@
     Err(io::Error::other("no port is free"))
 }
 
-/// Returns the first port that this process tries; it depends on the process id so that parallel processes do not collide.
+/// Returns the first port that this process tries. The port depends on the process id, so that processes that run at
+/// the same time do not choose the same ports.
 fn first_port() -> u16 {
     let count = u32::from(PORTS.end - PORTS.start);
     let offset = (std::process::id() * PROCESS_STEP) % count;
--- a/crates/samphiregrade-bench/src/compare.rs
+++ b/crates/samphiregrade-bench/src/compare.rs
@@ -1,4 +1,4 @@
-//! Comparing policies on the same arrivals, and one page that shows the comparison.
+//! Compares policies on the same arrivals, and renders the comparison as a table and an HTML page.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -16,10 +16,10 @@
 use crate::run::{arrival_rate, cluster_settings};
 use crate::scenario::Scenario;
 
-/// Size of a plot in points.
+/// Size of a plot in pixels.
 const PLOT_SIZE: (u32, u32) = (720, 300);
 
-/// Colours of the policies, in turn.
+/// Line colours, assigned to the policies in order.
 const COLOURS: [RGBColor; 4] = [
     RGBColor(0, 90, 160),
     RGBColor(200, 80, 0),
@@ -27,12 +27,12 @@
     RGBColor(130, 50, 140),
 ];
 
-/// One measure over several seeds.
+/// Spread of one measure over several seeds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct MeasureSpread {
     /// Smallest value.
     pub least: f64,
-    /// Middle value.
+    /// Median; the upper middle value of an even number of values.
     pub median: f64,
     /// Largest value.
     pub most: f64,
@@ -41,16 +41,16 @@
 impl MeasureSpread {
     fn of(mut values: Vec<f64>) -> Self {
         values.sort_by(f64::total_cmp);
-        let at = |index: usize| values.get(index).copied().unwrap_or(0.0);
+        let value_at = |index: usize| values.get(index).copied().unwrap_or(0.0);
         Self {
-            least: at(0),
-            median: at(values.len() / 2),
-            most: at(values.len().saturating_sub(1)),
+            least: value_at(0),
+            median: value_at(values.len() / 2),
+            most: value_at(values.len().saturating_sub(1)),
         }
     }
 }
 
-/// What one policy came to.
+/// Results of one policy over all seeds.
 #[derive(Clone, Debug, Serialize)]
 pub struct PolicySummary {
     /// The policy.
@@ -59,11 +59,11 @@
     pub p95_seconds: BTreeMap<SmolStr, MeasureSpread>,
     /// 99th percentile of program latency by class, over the seeds.
     pub p99_seconds: BTreeMap<SmolStr, MeasureSpread>,
-    /// Tokens computed again.
+    /// Recomputed tokens.
     pub recomputed_tokens: MeasureSpread,
-    /// Share of the prefilled tokens that was computed again.
+    /// Share of the prefilled tokens that were recomputed.
     pub wasted_fraction: MeasureSpread,
-    /// Programs finished of those begun.
+    /// Share of the started programs that finished.
     pub finished_share: MeasureSpread,
 }
 
@@ -72,15 +72,15 @@
 pub struct ComparisonReport {
     /// The scenario.
     pub scenario: SmolStr,
-    /// Programs begun a second.
+    /// Programs started per second.
     pub programs_per_second: f64,
-    /// Every policy's summary, the oracle's first.
+    /// Summaries of the policies, after the summary of the oracle.
     pub summaries: Vec<PolicySummary>,
-    /// Every run.
+    /// Reports of all runs.
     pub runs: Vec<ScenarioReport>,
 }
 
-/// Sums up runs by policy.
+/// Summarises runs by policy.
 #[must_use]
 pub fn summarise(
     scenario: &Scenario,
@@ -107,7 +107,7 @@
     }
 }
 
-/// Name of a policy as records write it.
+/// Returns the name of a policy as it is written in records.
 #[must_use]
 pub fn policy_label(policy: PolicyName) -> SmolStr {
     let value = serde_json::to_value(policy).unwrap_or_default();
@@ -145,7 +145,7 @@
     }
 }
 
-/// Computes what the oracle reaches on the arrivals of some seeds.
+/// Computes the latencies of the oracle on the arrivals of the given seeds.
 ///
 /// # Errors
 ///
@@ -190,18 +190,18 @@
     })
 }
 
-/// Composes a table of the summaries for the terminal.
+/// Formats the summaries as a text table.
 #[must_use]
 pub fn text_table(report: &ComparisonReport) -> String {
     let mut text = String::new();
-    // Writing to a string can't fail.
+    // Writing to a `String` can't fail.
     let _ = writeln!(
         text,
         "{:<14} {:>24} {:>24} {:>26} {:>9}",
         "policy", "p95 s (least-most)", "p99 s", "recomputed tokens", "finished"
     );
     for summary in &report.summaries {
-        let of = |values: &BTreeMap<SmolStr, MeasureSpread>| {
+        let format_spread = |values: &BTreeMap<SmolStr, MeasureSpread>| {
             let all = values.get("all").copied().unwrap_or_default();
             format!("{:.2} ({:.2}-{:.2})", all.median, all.least, all.most)
         };
@@ -210,8 +210,8 @@
             text,
             "{:<14} {:>24} {:>24} {:>26} {:>9.3}",
             summary.policy,
-            of(&summary.p95_seconds),
-            of(&summary.p99_seconds),
+            format_spread(&summary.p95_seconds),
+            format_spread(&summary.p99_seconds),
             format!(
                 "{:.0} ({:.0}-{:.0})",
                 tokens.median, tokens.least, tokens.most
@@ -222,7 +222,7 @@
     text
 }
 
-/// Composes one self-contained page with a table and plots.
+/// Renders a self-contained HTML page with the table and the plots.
 ///
 /// # Errors
 ///
@@ -238,7 +238,7 @@
     })?;
     let queue = queue_plot(report)?;
     let mut page = String::from("<!doctype html><meta charset=\"utf-8\"><title>");
-    // Writing to a string can't fail.
+    // Writing to a `String` can't fail.
     let _ = write!(page, "{0}</title><h1>{0}</h1>", report.scenario);
     let _ = write!(
         page,
@@ -270,7 +270,7 @@
         .collect()
 }
 
-/// Draws a bar for each policy, with the spread over the seeds.
+/// Draws a bar for the median of each policy, with a line for the spread over the seeds.
 fn bars<Value>(report: &ComparisonReport, title: &str, value: Value) -> Result<String>
 where
     Value: Fn(&PolicySummary) -> MeasureSpread,
@@ -281,7 +281,7 @@
         .iter()
         .map(|summary| (summary.policy.clone(), value(summary)))
         .collect();
-    let most = values
+    let axis_end = values
         .iter()
         .map(|(_, spread)| spread.most)
         .fold(1e-9, f64::max)
@@ -295,10 +295,10 @@
             .margin(8)
             .x_label_area_size(24)
             .y_label_area_size(64)
-            .build_cartesian_2d((0..count).into_segmented(), 0.0..most)
+            .build_cartesian_2d((0..count).into_segmented(), 0.0..axis_end)
             .context("drawing")?;
-        let label = |place: &SegmentValue<i32>| {
-            let index = match place {
+        let label = |position: &SegmentValue<i32>| {
+            let index = match position {
                 SegmentValue::Exact(index) | SegmentValue::CenterOf(index) => *index,
                 SegmentValue::Last => count,
             };
@@ -314,7 +314,7 @@
             .draw()
             .context("drawing")?;
         for (index, (_, spread)) in (0..).zip(&values) {
-            let place = SegmentValue::CenterOf(index);
+            let position = SegmentValue::CenterOf(index);
             let left = SegmentValue::Exact(index);
             let right = SegmentValue::Exact(index + 1);
             let mut bar = Rectangle::new(
@@ -323,7 +323,7 @@
             );
             bar.set_margin(0, 0, 24, 24);
             chart.draw_series([bar]).context("drawing")?;
-            let line = [(place.clone(), spread.least), (place, spread.most)];
+            let line = [(position.clone(), spread.least), (position, spread.most)];
             chart
                 .draw_series([PathElement::new(line, BLACK)])
                 .context("drawing")?;
@@ -333,7 +333,7 @@
     Ok(svg)
 }
 
-/// Draws the requests waiting at the engines over time, for the first seed of every policy.
+/// Plots the number of requests waiting at the engines over time, for the first run of every policy.
 fn queue_plot(report: &ComparisonReport) -> Result<String> {
     let mut svg = String::new();
     let points = report.runs.iter().flat_map(|run| &run.queue);
@@ -356,13 +356,13 @@
             .build_cartesian_2d(0.0..longest, 0.0..most * 1.1)
             .context("drawing")?;
         chart.configure_mesh().draw().context("drawing")?;
-        let mut drawn = Vec::new();
+        let mut drawn_policies = Vec::new();
         for run in &report.runs {
-            if drawn.contains(&run.policy) {
+            if drawn_policies.contains(&run.policy) {
                 continue;
             }
-            let colour = COLOURS[drawn.len() % COLOURS.len()];
-            drawn.push(run.policy);
+            let colour = COLOURS[drawn_policies.len() % COLOURS.len()];
+            drawn_policies.push(run.policy);
             let line = LineSeries::new(run.queue.iter().copied(), colour);
             let series = chart.draw_series(line).context("drawing")?;
             series
--- a/crates/samphiregrade-bench/src/detectors.rs
+++ b/crates/samphiregrade-bench/src/detectors.rs
@@ -1,8 +1,8 @@
-//! Failure detectors compared on the same recorded delays.
+//! Compares failure detectors on the same recorded probe delays.
 //!
-//! Probes go over real sockets through the fault proxy; what they took is recorded once for each
-//! condition, and every detector then looks at the same record. At the end of each record one peer
-//! stops answering for good.
+//! Probes are sent over real sockets through the fault proxy. Their delays are recorded once for each
+//! condition, and every detector is run on the same recording. At the end of each recording one peer
+//! stops responding for good.
 
 use std::net::UdpSocket as StdSocket;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -18,25 +18,25 @@
 use smol_str::SmolStr;
 use tokio::net::UdpSocket;
 
-/// Time between two rounds of probes.
+/// Interval between two rounds of probes.
 const INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time for the last answers to come.
-const LATE_ANSWERS: Duration = Duration::from_secs(2);
+/// Time to wait for late responses after the last round.
+const LATE_RESPONSE_TIME: Duration = Duration::from_secs(2);
 
-/// Peers that are probed.
+/// Number of probed peers.
 const PEERS: usize = 6;
 
-/// Rounds with every peer alive.
+/// Number of rounds in which every peer is alive.
 const LIVE_ROUNDS: usize = 120;
 
-/// Rounds after one peer has stopped answering.
+/// Number of rounds after one peer has stopped responding.
 const DEAD_ROUNDS: usize = 24;
 
-/// The peer that stops answering at the end.
-const DYING_PEER: usize = 2;
+/// Index of the peer that stops responding at the end.
+const FAILING_PEER: usize = 2;
 
-/// Silence after which the product suspects an instance.
+/// Time without a response after which samphiregrade suspects an instance.
 const SUSPECT_AFTER: Duration = Duration::from_millis(1200);
 
 /// A condition of the network or of a peer.
@@ -60,43 +60,43 @@
         }
     }
 
-    /// Returns the faults of a peer's link in a round.
+    /// Returns the faults to inject into a peer's link in a round.
     fn faults(self, peer: usize, round: usize, rng: &mut SmallRng) -> LinkFaults {
         let mut faults = LinkFaults::default();
         match self {
             Self::Jittery => {
-                // Mostly short, now and then long, some lost.
-                let long = rng.random_bool(0.1);
-                let most = if long { 900 } else { 80 };
-                faults.delay_ms = rng.random_range(0..most);
+                // One delay in ten is long, the others are short, and one packet in ten is lost.
+                let is_long = rng.random_bool(0.1);
+                let longest_ms = if is_long { 900 } else { 80 };
+                faults.delay_ms = rng.random_range(0..longest_ms);
                 faults.drop = 0.1;
             }
             Self::SlowLink if peer == 0 => faults.delay_ms = 700,
-            // Four rounds of pause now and then, shorter than the product's patience.
+            // Pauses of four rounds in every 24: 1 s, shorter than `SUSPECT_AFTER`.
             Self::PausedPeer if peer == 0 => faults.half_open = round % 24 >= 20,
             Self::Quiet | Self::SlowLink | Self::PausedPeer => {}
         }
-        faults.cut = round >= LIVE_ROUNDS && peer == DYING_PEER;
+        faults.cut = round >= LIVE_ROUNDS && peer == FAILING_PEER;
         faults
     }
 }
 
-/// What a detector came to under a condition.
+/// Result of a detector under a condition.
 #[derive(Clone, Debug, Serialize)]
 pub struct DetectorResult {
     /// The condition.
     pub condition: SmolStr,
     /// The detector.
     pub detector: SmolStr,
-    /// Begins of suspicions of a peer that was alive.
+    /// Number of times that a detector started to suspect a peer that was alive.
     pub false_suspicions: usize,
-    /// Rounds in which a peer that was alive was suspected, over all peers.
+    /// Number of rounds in which a peer that was alive was suspected, summed over the peers.
     pub rounds_suspected: usize,
-    /// From the last answer of the dead peer to its suspicion, in seconds; none where it never came.
+    /// Time from the last response of the dead peer to its suspicion, in seconds; `None` if it was never suspected.
     pub detection_seconds: Option<f64>,
 }
 
-/// When each round's probe was sent and answered.
+/// Times at which the probe of each round was sent and its response received.
 #[derive(Debug, Default)]
 struct ProbeLog {
     sent: Vec<Instant>,
@@ -109,18 +109,18 @@
     log: Arc<Mutex<ProbeLog>>,
 }
 
-/// Records delays and runs every detector on them; to be called inside a tokio runtime.
+/// Records the delays and runs every detector on them. Must be called inside a tokio runtime.
 ///
 /// # Errors
 ///
-/// Returns the error of a socket.
+/// Returns an error if a socket can't be bound or used.
 pub async fn compare_detectors() -> Result<Vec<DetectorResult>> {
-    let records = join_all(LinkCondition::ALL.map(record)).await;
+    let recordings = join_all(LinkCondition::ALL.map(record_delays)).await;
     let mut results = Vec::new();
-    for (condition, rounds) in LinkCondition::ALL.into_iter().zip(records) {
+    for (condition, rounds) in LinkCondition::ALL.into_iter().zip(recordings) {
         let rounds = rounds?;
         for kind in DetectorKind::ALL {
-            results.push(judge(condition, kind, &rounds));
+            results.push(run_detector(condition, kind, &rounds));
         }
     }
     Ok(results)
@@ -129,27 +129,27 @@
 async fn start_peer() -> Result<ProbedPeer> {
     let echo = UdpSocket::bind("127.0.0.1:0")
         .await
-        .context("binding a peer")?;
+        .context("binding the socket of a probed peer")?;
     let target = echo.local_addr()?;
     tokio::spawn(async move {
         let mut buffer = [0; 64];
         while let Ok((count, from)) = echo.recv_from(&mut buffer).await {
-            // A lost answer is what the probes are about.
+            // The error is ignored: to the prober a failed send is a lost response.
             let _ = echo.send_to(&buffer[..count], from).await;
         }
     });
-    let near = StdSocket::bind("127.0.0.1:0")?;
-    let address = near.local_addr()?;
+    let near_socket = StdSocket::bind("127.0.0.1:0")?;
+    let address = near_socket.local_addr()?;
     let link = FaultLink::default();
-    tokio::spawn(link.clone().run_udp(near, target));
+    tokio::spawn(link.clone().run_udp(near_socket, target));
     let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await?);
     socket.connect(address).await?;
     let log: Arc<Mutex<ProbeLog>> = Arc::default();
-    tokio::spawn(note_answers(socket.clone(), log.clone()));
+    tokio::spawn(record_responses(socket.clone(), log.clone()));
     Ok(ProbedPeer { link, socket, log })
 }
 
-async fn note_answers(socket: Arc<UdpSocket>, log: Arc<Mutex<ProbeLog>>) {
+async fn record_responses(socket: Arc<UdpSocket>, log: Arc<Mutex<ProbeLog>>) {
     let mut buffer = [0; 4];
     while socket.recv(&mut buffer).await.is_ok() {
         let round = u32::from_be_bytes(buffer) as usize;
@@ -160,8 +160,8 @@
     }
 }
 
-/// Records the delays of all rounds under a condition.
-async fn record(condition: LinkCondition) -> Result<Vec<RoundObservation>> {
+/// Records the probe delays of all rounds under a condition.
+async fn record_delays(condition: LinkCondition) -> Result<Vec<RoundObservation>> {
     let mut rng = SmallRng::seed_from_u64(7);
     let mut peers = Vec::new();
     for _ in 0..PEERS {
@@ -176,7 +176,7 @@
         }
         tokio::time::sleep_until((started + INTERVAL).into()).await;
     }
-    tokio::time::sleep(LATE_ANSWERS).await;
+    tokio::time::sleep(LATE_RESPONSE_TIME).await;
     let rounds = (0..LIVE_ROUNDS + DEAD_ROUNDS).map(|round| RoundObservation {
         interval: INTERVAL,
         delays: peers.iter().map(|peer| peer.delay(round)).collect(),
@@ -195,7 +195,7 @@
         Ok(())
     }
 
-    /// Returns how long the answer of a round took.
+    /// Returns the delay of the response of a round; `None` if there was no response.
     fn delay(&self, round: usize) -> Option<Duration> {
         let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
         let sent = *log.sent.get(round)?;
@@ -204,7 +204,7 @@
     }
 }
 
-fn judge(
+fn run_detector(
     condition: LinkCondition,
     kind: DetectorKind,
     rounds: &[RoundObservation],
@@ -215,7 +215,7 @@
     for (number, round) in rounds.iter().enumerate() {
         let suspected = detector.observe(round);
         for peer in 0..PEERS {
-            if number >= LIVE_ROUNDS && peer == DYING_PEER {
+            if number >= LIVE_ROUNDS && peer == FAILING_PEER {
                 if suspected[peer] {
                     detected.get_or_insert(number - LIVE_ROUNDS + 1);
                 }
--- a/crates/samphiregrade-bench/src/faults.rs
+++ b/crates/samphiregrade-bench/src/faults.rs
@@ -1,4 +1,4 @@
-//! Brings faults about, and ends them.
+//! Injects the faults of a scenario and ends them.
 
 use std::time::{Duration, Instant};
 
@@ -14,75 +14,75 @@
 use crate::cluster::Cluster;
 use crate::scenario::{FaultKind, FaultSpec};
 
-/// Operators that race unless a fault says otherwise.
+/// Default number of operators that race to change a record.
 const DEFAULT_WRITERS: usize = 4;
 
-/// What the audit needs to know of the faults.
+/// Record of the injected faults, for the audit.
 #[derive(Clone, Debug, Default)]
 pub struct FaultLog {
-    /// Begins of faults that interrupt instances.
+    /// Start times of the faults that interrupt instances.
     pub interruptions: Vec<Instant>,
-    /// Upstreams that began to leave, with the time in milliseconds since the Unix epoch.
+    /// Upstreams that started to leave, with the time in milliseconds since the Unix epoch.
     pub leaving: Vec<(SmolStr, u64)>,
-    /// Graceful stops: entry, begin, and end where the process has ended.
+    /// Graceful stops of instances.
     pub stops: Vec<StopLog>,
-    /// Accepted changes of records: revision and time.
+    /// Accepted changes of records, with revision and time.
     pub changes: Vec<(u64, Instant)>,
-    /// Changes that were accepted although another had come between.
+    /// Changes that were accepted although the writer had not seen the previous accepted change.
     pub lost_changes: u32,
 }
 
-/// A graceful stop.
+/// A graceful stop of an instance.
 #[derive(Clone, Debug)]
 pub struct StopLog {
     /// The instance.
     pub instance: InstanceName,
-    /// Its base URL for callers.
+    /// Base URL of the instance for callers.
     pub entry: SmolStr,
-    /// When it was asked to stop.
+    /// Time at which the instance received the stop signal.
     pub began: Instant,
-    /// When it had ended, with its exit status.
+    /// Time at which the process was seen to have ended, with its exit status.
     pub ended: Option<(Instant, i32)>,
 }
 
-/// A fault that is in force, with what ends it.
+/// An active fault, by the action that ends it.
 #[derive(Clone, Debug)]
 pub enum ActiveFault {
-    /// Start the instances again.
+    /// Restart the instances.
     Restart(Vec<InstanceName>),
-    /// Let the instances go on.
+    /// Continue the paused instances.
     Resume(Vec<InstanceName>),
-    /// Set the key-value service's faults back.
+    /// Clear the faults of the key-value service.
     KeyValue,
-    /// Set the links whose names match back.
-    Links(LinkChoice),
-    /// Set the services' faults back.
+    /// Clear the faults of the selected links.
+    Links(LinkSelector),
+    /// Clear the faults of the targeted services.
     Services(SmolStr),
-    /// End the engines' silence.
+    /// Resume the load reports and cache events of the targeted engines.
     Silence(SmolStr),
-    /// Take the upstream's leaving back.
+    /// Clear the leaving state of the upstream.
     Leaving(SmolStr),
-    /// Nothing to end.
+    /// Nothing: the fault has no lasting effect.
     Nothing,
 }
 
-/// Chooses links by their names.
+/// Selects links by their names.
 #[derive(Clone, Debug)]
-pub enum LinkChoice {
-    /// Every link that begins so.
+pub enum LinkSelector {
+    /// Links whose names start with the prefix.
     Prefix(SmolStr),
-    /// Everything that leads into or out of some instances, callers aside.
+    /// Links from a group of instances to other instances, to the key-value service and to the instance list.
     Around(Vec<InstanceName>),
     /// The links between two groups of instances.
     Between(Vec<InstanceName>, Vec<InstanceName>),
 }
 
-impl LinkChoice {
-    /// Returns whether the choice takes the link.
+impl LinkSelector {
+    /// Returns whether a link is selected.
     #[must_use]
-    pub fn takes(&self, link: &str) -> bool {
+    pub fn selects(&self, link: &str) -> bool {
         let parts: Vec<&str> = link.split('/').collect();
-        let within = |group: &[InstanceName], name: &str| group.iter().any(|one| one == name);
+        let within = |group: &[InstanceName], name: &str| group.iter().any(|member| member == name);
         match self {
             Self::Prefix(prefix) => link.starts_with(prefix.as_str()),
             Self::Around(group) => match parts[..] {
@@ -100,11 +100,11 @@
     }
 }
 
-/// Resolves a target to instances.
+/// Resolves the target of a fault to instances.
 ///
 /// # Errors
 ///
-/// Returns an error for a target that names none.
+/// Returns an error if the target names no instance.
 pub async fn target_instances(cluster: &Cluster, target: &str) -> Result<Vec<InstanceName>> {
     if target == "primary" {
         return Ok(cluster.busiest_primary().await.into_iter().collect());
@@ -125,17 +125,17 @@
     bail!("`{target}` names no instance; use primary, instance:DOMAIN/INDEX or failure-domain:NAME")
 }
 
-/// Brings a fault about.
+/// Injects a fault.
 ///
 /// # Errors
 ///
-/// Returns an error where the fault does not fit its target.
+/// Returns an error if the target is not valid for the kind of fault.
 pub async fn begin_fault(
     cluster: &mut Cluster,
     fault: &FaultSpec,
     log: &mut FaultLog,
 ) -> Result<ActiveFault> {
-    log::info!("fault begins kind={:?} target={}", fault.kind, fault.target);
+    log::info!("fault starts kind={:?} target={}", fault.kind, fault.target);
     match fault.kind {
         FaultKind::Kill | FaultKind::Pause | FaultKind::Stop => {
             interrupt(cluster, fault, log).await
@@ -145,13 +145,15 @@
         }
         FaultKind::Cut => {
             log.interruptions.push(Instant::now());
-            let choice = cut_choice(cluster, fault).await?;
+            let selector = partition_selector(cluster, fault).await?;
             let faults = LinkFaults {
                 cut: true,
                 ..LinkFaults::default()
             };
-            cluster.proxy.set_faults(&faults, |link| choice.takes(link));
-            Ok(ActiveFault::Links(choice))
+            cluster
+                .proxy
+                .set_faults(&faults, |link| selector.selects(link));
+            Ok(ActiveFault::Links(selector))
         }
         FaultKind::Leave => {
             let name = upstream_name(fault)?;
@@ -172,7 +174,7 @@
             Ok(ActiveFault::Silence(fault.target.clone()))
         }
         FaultKind::ChangeRecord => {
-            race_writers(cluster, fault.writers.unwrap_or(DEFAULT_WRITERS), log).await?;
+            simulate_racing_writers(cluster, fault.writers.unwrap_or(DEFAULT_WRITERS), log).await?;
             Ok(ActiveFault::Nothing)
         }
     }
@@ -232,12 +234,12 @@
         set_services(cluster, &fault.target, &faults);
         return Ok(ActiveFault::Services(fault.target.clone()));
     }
-    let choice = match fault.target.as_str() {
-        "instance-list" => LinkChoice::Prefix("instance-list/".into()),
-        "weight-store" => LinkChoice::Prefix("weight-store".into()),
+    let selector = match fault.target.as_str() {
+        "instance-list" => LinkSelector::Prefix("instance-list/".into()),
+        "weight-store" => LinkSelector::Prefix("weight-store".into()),
         target => match target.strip_prefix("upstream:") {
-            Some(name) => LinkChoice::Prefix(format_smolstr!("upstream/{name}")),
-            None => LinkChoice::Around(target_instances(cluster, target).await?),
+            Some(name) => LinkSelector::Prefix(format_smolstr!("upstream/{name}")),
+            None => LinkSelector::Around(target_instances(cluster, target).await?),
         },
     };
     log.interruptions.push(Instant::now());
@@ -246,33 +248,39 @@
         cut: fault.kind == FaultKind::Outage,
         ..LinkFaults::default()
     };
-    cluster.proxy.set_faults(&faults, |link| choice.takes(link));
-    Ok(ActiveFault::Links(choice))
+    cluster
+        .proxy
+        .set_faults(&faults, |link| selector.selects(link));
+    Ok(ActiveFault::Links(selector))
 }
 
-async fn cut_choice(cluster: &Cluster, fault: &FaultSpec) -> Result<LinkChoice> {
+async fn partition_selector(cluster: &Cluster, fault: &FaultSpec) -> Result<LinkSelector> {
     if let [one, other] = fault.between.as_slice() {
-        for (platform, target) in [(one, other), (other, one)] {
-            if platform == "key-value" {
+        for (service, target) in [(one, other), (other, one)] {
+            if service == "key-value" {
                 let name = target_instances(cluster, target).await?;
                 let first = name.first().cloned().unwrap_or_default();
                 let prefix = first.trim_end_matches(|letter: char| letter.is_ascii_digit());
-                let whole = target.starts_with("failure-domain:");
-                let name = if whole { prefix } else { first.as_str() };
-                return Ok(LinkChoice::Prefix(format_smolstr!("key-value/{name}")));
+                let is_whole_domain = target.starts_with("failure-domain:");
+                let name = if is_whole_domain {
+                    prefix
+                } else {
+                    first.as_str()
+                };
+                return Ok(LinkSelector::Prefix(format_smolstr!("key-value/{name}")));
             }
         }
         let one = target_instances(cluster, one).await?;
         let other = target_instances(cluster, other).await?;
-        return Ok(LinkChoice::Between(one, other));
+        return Ok(LinkSelector::Between(one, other));
     }
     if let Some(name) = fault.target.strip_prefix("upstream:") {
-        return Ok(LinkChoice::Prefix(format_smolstr!("upstream/{name}")));
+        return Ok(LinkSelector::Prefix(format_smolstr!("upstream/{name}")));
     }
     if fault.target == "key-value" {
-        return Ok(LinkChoice::Prefix("key-value/".into()));
+        return Ok(LinkSelector::Prefix("key-value/".into()));
     }
-    Ok(LinkChoice::Around(
+    Ok(LinkSelector::Around(
         target_instances(cluster, &fault.target).await?,
     ))
 }
@@ -297,25 +305,29 @@
 }
 
 fn set_services(cluster: &Cluster, target: &str, faults: &ServiceFaults) {
-    let wanted = target.strip_prefix("upstream:");
+    let target_name = target.strip_prefix("upstream:");
     for (name, service) in &cluster.services {
-        if wanted.is_none_or(|wanted| name == wanted) {
+        if target_name.is_none_or(|target_name| name == target_name) {
             service.set_faults(faults.clone());
         }
     }
 }
 
 fn set_silent(cluster: &Cluster, target: &str, silent: bool) {
-    let wanted = target.strip_prefix("upstream:");
+    let target_name = target.strip_prefix("upstream:");
     for (name, engine) in &cluster.engines {
-        if wanted.is_none_or(|wanted| name == wanted) {
+        if target_name.is_none_or(|target_name| name == target_name) {
             engine.set_silent(silent);
         }
     }
 }
 
-/// Lets operators race: each writes the same record a few times, by compare-and-swap.
-async fn race_writers(cluster: &Cluster, writers: usize, log: &mut FaultLog) -> Result<()> {
+/// Simulates racing operators: each writes the same record in three rounds, by compare-and-swap.
+async fn simulate_racing_writers(
+    cluster: &Cluster,
+    writers: usize,
+    log: &mut FaultLog,
+) -> Result<()> {
     use samphiregrade::keyvalue::{KeyValueStore, SwapOutcome};
     let key = samphiregrade::record::record_key(RecordKind::Model, "raced");
     let store = cluster.direct_store();
@@ -332,7 +344,7 @@
             let text = serde_json::to_string(&record)?;
             match store.swap(key.clone(), *expected, Some(text)).await? {
                 SwapOutcome::Swapped(revision) => {
-                    // Who is accepted must have seen the last accepted change.
+                    // An accepted writer must have seen the previous accepted change.
                     if accepted.last().copied().unwrap_or(0) != *expected && !accepted.is_empty() {
                         log.lost_changes += 1;
                     }
@@ -353,12 +365,12 @@
 ///
 /// # Errors
 ///
-/// Returns an error where an instance can't be started again.
+/// Returns an error if an instance can't be restarted.
 pub fn end_fault(cluster: &mut Cluster, fault: &ActiveFault, log: &mut FaultLog) -> Result<()> {
     match fault {
         ActiveFault::Restart(names) => {
             for name in names {
-                note_exit(cluster, name, log);
+                record_exit(cluster, name, log);
                 if let Some(instance) = cluster.instances.get_mut(name) {
                     if instance.id().is_some() {
                         instance.kill();
@@ -375,10 +387,10 @@
             }
         }
         ActiveFault::KeyValue => cluster.key_value.set_faults(KeyValueFaults::default()),
-        ActiveFault::Links(choice) => {
+        ActiveFault::Links(selector) => {
             cluster
                 .proxy
-                .set_faults(&LinkFaults::default(), |link| choice.takes(link));
+                .set_faults(&LinkFaults::default(), |link| selector.selects(link));
         }
         ActiveFault::Services(target) => {
             set_services(cluster, target, &ServiceFaults::default());
@@ -390,22 +402,22 @@
     Ok(())
 }
 
-/// Notes the exit of instances that were asked to stop.
-pub fn note_exit(cluster: &mut Cluster, name: &InstanceName, log: &mut FaultLog) {
+/// Records the exit of an instance that received the stop signal.
+pub fn record_exit(cluster: &mut Cluster, name: &InstanceName, log: &mut FaultLog) {
     let Some(instance) = cluster.instances.get_mut(name) else {
         return;
     };
-    let open = log
+    let open_stop = log
         .stops
         .iter_mut()
         .find(|stop| stop.instance == *name && stop.ended.is_none());
-    let Some(stop) = open else { return };
+    let Some(stop) = open_stop else { return };
     if let Some(status) = instance.exited() {
         stop.ended = Some((Instant::now(), status));
     }
 }
 
-/// Milliseconds since the Unix epoch.
+/// Returns the current time in milliseconds since the Unix epoch.
 #[must_use]
 pub fn epoch_ms() -> u64 {
     let now = std::time::SystemTime::now()
--- a/crates/samphiregrade-bench/src/lag.rs
+++ b/crates/samphiregrade-bench/src/lag.rs
@@ -1,16 +1,17 @@
-//! How long single entries kept an older configuration than others, read from their logs.
+//! Reports how long single entries kept an older configuration than others, from the entries' logs.
 //!
-//! A version that is late on one entry breaks a promise only where a request meets it; the log tells how near it came.
+//! A version that one entry applies late breaks a guarantee only if that entry serves a request in the meantime. The
+//! lags in the logs show how close a run came to this.
 
 use std::collections::HashMap;
 
 use serde::Deserialize;
 use smol_str::SmolStr;
 
-/// Rows that the table has at most.
-const TOLD_ROWS: usize = 5;
+/// Maximum number of lags in the table.
+const MAX_ROWS: usize = 5;
 
-/// A line that tells of a configuration, or of a start.
+/// A log line of the event `configuration` or `start`.
 #[derive(Clone, Debug, Deserialize)]
 struct InstanceLine {
     event: SmolStr,
@@ -22,51 +23,51 @@
     version: serde_json::Value,
 }
 
-/// A version that came into force on an instance.
+/// A configuration version that an instance applied.
 #[derive(Clone, Debug)]
-struct TakenVersion {
+struct AppliedVersion {
     instance: SmolStr,
     version: u64,
     time_ms: f64,
-    /// Whether it is the first one since the instance started.
+    /// Whether this is the first version since the instance started.
     first: bool,
 }
 
-/// A version that an instance had later than another one.
+/// Lag of an instance behind the first instance that applied a version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VersionLag {
     /// The instance.
     pub instance: SmolStr,
-    /// The version that it was without.
+    /// The version that the instance applied late.
     pub version: u64,
-    /// Time between the first instance that had it and this one, in milliseconds, by their wall clocks.
+    /// Time from the first instance's change to this instance's, in milliseconds, by the instances' wall clocks.
     pub milliseconds: f64,
 }
 
-/// The lags of a run, the longest first.
+/// The configuration lags of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LagAccount {
-    /// The longest lag of each instance.
+    /// The longest lag of each instance, in descending order.
     pub lags: Vec<VersionLag>,
-    /// Versions that came into force.
+    /// Number of versions that were applied.
     pub versions: usize,
 }
 
 impl LagAccount {
-    /// Reads logs; an instance is the word before a line's JSON, or what its line of the start names.
+    /// Reads logs. The instance of a line is the word before the JSON, or else the instance of the last `start` line.
     #[must_use]
     pub fn read<'text, Lines>(lines: Lines) -> Self
     where
         Lines: Iterator<Item = &'text str>,
     {
-        let taken = read_taken(lines);
+        let applied = read_applied_versions(lines);
         let mut first: HashMap<u64, f64> = HashMap::new();
-        for version in &taken {
-            let time = first.entry(version.version).or_insert(version.time_ms);
-            *time = time.min(version.time_ms);
+        for version in &applied {
+            let earliest = first.entry(version.version).or_insert(version.time_ms);
+            *earliest = earliest.min(version.time_ms);
         }
         let mut longest: HashMap<SmolStr, VersionLag> = HashMap::new();
-        for version in taken.iter().filter(|version| !version.first) {
+        for version in applied.iter().filter(|version| !version.first) {
             let lag = VersionLag {
                 instance: version.instance.clone(),
                 version: version.version,
@@ -87,14 +88,14 @@
         }
     }
 
-    /// Returns the longest lags as lines; nothing where no version came into force.
+    /// Formats the longest lags as lines; returns an empty text if no version was applied.
     #[must_use]
     pub fn table(&self) -> String {
         if self.versions == 0 {
             return String::new();
         }
         let mut rows = vec![format!("{} versions of the configuration", self.versions)];
-        for lag in self.lags.iter().take(TOLD_ROWS) {
+        for lag in self.lags.iter().take(MAX_ROWS) {
             rows.push(format!(
                 "{:>7.0} ms behind the first with version {}: {}",
                 lag.milliseconds, lag.version, lag.instance
@@ -104,42 +105,42 @@
     }
 }
 
-fn read_taken<'text, Lines>(lines: Lines) -> Vec<TakenVersion>
+fn read_applied_versions<'text, Lines>(lines: Lines) -> Vec<AppliedVersion>
 where
     Lines: Iterator<Item = &'text str>,
 {
-    let mut taken = Vec::new();
+    let mut applied = Vec::new();
     let mut started: HashMap<SmolStr, bool> = HashMap::new();
-    let mut named = SmolStr::default();
+    let mut last_started = SmolStr::default();
     for line in lines {
-        let told = ["\"event\":\"configuration\"", "\"event\":\"start\""];
-        if !told.iter().any(|event| line.contains(event)) {
+        let events = ["\"event\":\"configuration\"", "\"event\":\"start\""];
+        if !events.iter().any(|event| line.contains(event)) {
             continue;
         }
-        let Some(place) = line.find('{') else {
+        let Some(json_start) = line.find('{') else {
             continue;
         };
-        let Ok(told) = serde_json::from_str::<InstanceLine>(&line[place..]) else {
+        let Ok(instance_line) = serde_json::from_str::<InstanceLine>(&line[json_start..]) else {
             continue;
         };
-        if told.event == "start" {
-            named = told.instance.clone();
+        if instance_line.event == "start" {
+            last_started = instance_line.instance.clone();
         }
-        let word = line[..place].split_whitespace().next_back();
-        let instance = word.map_or_else(|| named.clone(), SmolStr::from);
-        if told.event == "start" {
+        let word = line[..json_start].split_whitespace().next_back();
+        let instance = word.map_or_else(|| last_started.clone(), SmolStr::from);
+        if instance_line.event == "start" {
             started.insert(instance, true);
             continue;
         }
-        let Some(version) = told.version.as_u64() else {
+        let Some(version) = instance_line.version.as_u64() else {
             continue;
         };
-        taken.push(TakenVersion {
+        applied.push(AppliedVersion {
             first: started.remove(&instance).unwrap_or(false),
             instance,
             version,
-            time_ms: told.time_ms,
+            time_ms: instance_line.time_ms,
         });
     }
-    taken
+    applied
 }
--- a/crates/samphiregrade-bench/src/lib.rs
+++ b/crates/samphiregrade-bench/src/lib.rs
@@ -1,10 +1,10 @@
 //! Load and experiment tool of samphiregrade.
 //!
 //! A [`Cluster`](cluster::Cluster) is a set of real instance processes with stand-ins around them,
-//! every link through a fault proxy. A [`Scenario`](scenario::Scenario) says what load runs on it and
-//! what fails when; [`run_scenario`](run::run_scenario) runs it and [audits](audit) the stand-ins' own
-//! logs against what the callers were told. [`account`] reads where programs lost time from
-//! instances' logs, and [`lag`] how late configurations were.
+//! connected through fault proxies. A [`Scenario`](scenario::Scenario) defines the load of a cluster and the
+//! faults to inject; [`run_scenario`](run::run_scenario) runs it and [audits](audit) the stand-ins' own
+//! logs against the responses that callers received. [`account`] finds the causes of late and failed programs in
+//! instances' logs, and [`lag`] the delays of configuration changes.
 
 pub mod account;
 pub mod audit;
--- a/crates/samphiregrade-bench/src/load.rs
+++ b/crates/samphiregrade-bench/src/load.rs
@@ -1,4 +1,4 @@
-//! Load: programs begun at times that do not depend on how earlier ones fare.
+//! Open-loop load: the start times of programs do not depend on the progress of earlier programs.
 
 use std::time::Duration;
 
@@ -7,27 +7,27 @@
 use samphiregrade::workload::{ClassShape, PlanStep, ProgramPlan, draw_plan};
 use samphiregrade_standins::engine::EngineSettings;
 
-/// Programs drawn to estimate the mean work of one.
-const SAMPLE: usize = 2000;
+/// Number of programs drawn to estimate the mean work of a program.
+const SAMPLE_SIZE: usize = 2000;
 
-/// Steps that a call takes beside its prefill and its tokens.
+/// Engine steps of a call in addition to its prefill and its generated tokens.
 const STEPS_PER_CALL: f64 = 2.0;
 
-/// Thousands of tokens of context that a request has on average.
+/// Average context of a request, in thousands of tokens.
 pub const TYPICAL_CONTEXT: u32 = 4;
 
-/// A program with the time of its begin.
+/// A program and its start time.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Time from the begin of the load.
+    /// Time from the start of the load.
     pub at: Duration,
-    /// What it does.
+    /// Steps of the program.
     pub plan: ProgramPlan,
-    /// Number of the failure domain whose caller begins it.
+    /// Index of the failure domain whose caller starts the program.
     pub domain: usize,
 }
 
-/// Draws the arrivals of a load: exponential gaps, shapes by the classes' shares.
+/// Draws the arrivals of a load, with exponential gaps and with shapes in proportion to the classes' shares.
 #[must_use]
 pub fn draw_arrivals(
     shapes: &[ClassShape],
@@ -53,7 +53,7 @@
     }
 }
 
-/// Returns how many programs a second the engines can serve with every prefix cached.
+/// Returns the number of programs per second that the engines can serve if every prefix is cached.
 #[must_use]
 #[expect(
     clippy::cast_precision_loss,
@@ -61,18 +61,18 @@
 )]
 pub fn engine_capacity(shapes: &[ClassShape], engine: &EngineSettings, engines: usize) -> f64 {
     let mut rng = SmallRng::seed_from_u64(0);
-    let total: f64 = (0..SAMPLE)
+    let total: f64 = (0..SAMPLE_SIZE)
         .map(|_| slot_steps(&draw_plan(shapes, &mut rng), engine))
         .sum();
-    let per_program = total / SAMPLE as f64;
+    let per_program = total / SAMPLE_SIZE as f64;
     let slots = u32::try_from(engine.slots).unwrap_or(u32::MAX);
-    let step = full_step(engine);
-    let steps_per_second = f64::from(slots) / step.as_secs_f64();
+    let step_time = full_step_time(engine);
+    let steps_per_second = f64::from(slots) / step_time.as_secs_f64();
     steps_per_second * engines as f64 / per_program
 }
 
-/// Time of a step with every slot in use.
-fn full_step(engine: &EngineSettings) -> Duration {
+/// Returns the duration of an engine step with every slot in use.
+fn full_step_time(engine: &EngineSettings) -> Duration {
     let slots = u32::try_from(engine.slots).unwrap_or(u32::MAX);
     engine.step_base
         + engine.step_per_request * slots
--- a/crates/samphiregrade-bench/src/main.rs
+++ b/crates/samphiregrade-bench/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the experiment tool.
+//! Command line of the load and experiment tool.
 
 mod cmd;
 
@@ -9,7 +9,7 @@
     env_logger::Builder::from_env(filter)
         .format_target(false)
         .init();
-    // A second installation in the same process changes nothing.
+    // The error is ignored: it means that a provider is already installed.
     let _ = rustls::crypto::ring::default_provider().install_default();
     match cmd::run(pico_args::Arguments::from_env()) {
         Ok(code) => code,
--- a/crates/samphiregrade-bench/src/oracle.rs
+++ b/crates/samphiregrade-bench/src/oracle.rs
@@ -1,7 +1,7 @@
-//! The limit: a scheduler that knows every program's shape and has every prefix cached everywhere.
+//! Simulates an ideal scheduler, which knows every program's shape and has every prefix cached on every engine.
 //!
-//! It runs the same arrivals on the same number of slots, always continuing the program with the least
-//! true work left, and nothing is ever computed twice. No real scheduler can do better on both measures.
+//! The oracle runs the same arrivals on the same number of slots, always continues the program with the least
+//! actual work left, and never recomputes a token. No real scheduler can do better on both measures.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -12,26 +12,26 @@
 
 use crate::load::{Arrival, TYPICAL_CONTEXT};
 
-/// Time of a service call that meets nobody else.
+/// Duration of a service call without contention.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
 
-/// A part of a program in a row: engine time, or time outside of the engines.
+/// A sequential part of a program: time on an engine, or time outside the engines.
 #[derive(Clone, Copy, Debug)]
-enum Part {
+enum PlanPart {
     Engine(f64),
     Outside(f64),
 }
 
-/// What happens next: a program becomes ready for its next part.
+/// An event of the simulation: a program becomes ready for its next part, or its part on an engine ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Ready {
+struct ProgramEvent {
     at: f64,
     program: usize,
 }
 
-impl Eq for Ready {}
+impl Eq for ProgramEvent {}
 
-impl Ord for Ready {
+impl Ord for ProgramEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.at
             .total_cmp(&other.at)
@@ -39,24 +39,24 @@
     }
 }
 
-impl PartialOrd for Ready {
+impl PartialOrd for ProgramEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
 struct OracleRun {
-    parts: Vec<Vec<Part>>,
+    parts: Vec<Vec<PlanPart>>,
     next: Vec<usize>,
-    left: Vec<f64>,
+    work_left: Vec<f64>,
     ended: Vec<f64>,
-    events: BinaryHeap<Reverse<Ready>>,
-    busy: BinaryHeap<Reverse<Ready>>,
+    ready: BinaryHeap<Reverse<ProgramEvent>>,
+    busy: BinaryHeap<Reverse<ProgramEvent>>,
     waiting: Vec<usize>,
     slots: usize,
 }
 
-/// Returns the program latencies that the oracle reaches, in the order of the arrivals.
+/// Returns the program latencies under the oracle, in the order of the arrivals.
 #[must_use]
 pub fn oracle_latencies(
     arrivals: &[Arrival],
@@ -64,24 +64,24 @@
     engines: usize,
 ) -> Vec<Duration> {
     let slots = engine.slots * engines;
-    let parts: Vec<Vec<Part>> = arrivals
+    let parts: Vec<Vec<PlanPart>> = arrivals
         .iter()
         .map(|arrival| program_parts(&arrival.plan, engine))
         .collect();
-    let left = parts.iter().map(|parts| engine_time(parts)).collect();
+    let work_left = parts.iter().map(|parts| engine_time(parts)).collect();
     let mut run = OracleRun {
         next: vec![0; parts.len()],
         ended: vec![0.0; parts.len()],
-        left,
+        work_left,
         parts,
-        events: BinaryHeap::new(),
+        ready: BinaryHeap::new(),
         busy: BinaryHeap::new(),
         waiting: Vec::new(),
         slots,
     };
     for (program, arrival) in arrivals.iter().enumerate() {
         let at = arrival.at.as_secs_f64();
-        run.events.push(Reverse(Ready { at, program }));
+        run.ready.push(Reverse(ProgramEvent { at, program }));
     }
     run.run();
     arrivals
@@ -93,16 +93,16 @@
         .collect()
 }
 
-fn engine_time(parts: &[Part]) -> f64 {
+fn engine_time(parts: &[PlanPart]) -> f64 {
     let times = parts.iter().map(|part| match part {
-        Part::Engine(time) => *time,
-        Part::Outside(_) => 0.0,
+        PlanPart::Engine(time) => *time,
+        PlanPart::Outside(_) => 0.0,
     });
     times.sum()
 }
 
 #[expect(clippy::cast_precision_loss, reason = "numbers of tokens are small")]
-fn program_parts(plan: &ProgramPlan, engine: &EngineSettings) -> Vec<Part> {
+fn program_parts(plan: &ProgramPlan, engine: &EngineSettings) -> Vec<PlanPart> {
     let slots = u32::try_from(engine.slots).unwrap_or(u32::MAX);
     let step = engine.step_base
         + engine.step_per_request * (slots / 2).max(1)
@@ -113,12 +113,12 @@
         match step_kind {
             PlanStep::Model { prompt, answer } => {
                 let steps = *answer as f64 + (*prompt as f64 / prefill).ceil();
-                parts.push(Part::Engine(steps * step.as_secs_f64()));
+                parts.push(PlanPart::Engine(steps * step.as_secs_f64()));
             }
-            PlanStep::Service { .. } => parts.push(Part::Outside(SERVICE_TIME.as_secs_f64())),
-            PlanStep::Pause(pause) => parts.push(Part::Outside(pause.as_secs_f64())),
+            PlanStep::Service { .. } => parts.push(PlanPart::Outside(SERVICE_TIME.as_secs_f64())),
+            PlanStep::Pause(pause) => parts.push(PlanPart::Outside(pause.as_secs_f64())),
             PlanStep::SubAgents(plans) => {
-                // They run at the same time: the longest of them counts.
+                // Sub-agents run in parallel, so that only the longest counts.
                 let longest = plans
                     .iter()
                     .map(|plan| program_parts(plan, engine))
@@ -130,9 +130,9 @@
     parts
 }
 
-fn total_time(parts: &[Part]) -> f64 {
+fn total_time(parts: &[PlanPart]) -> f64 {
     let times = parts.iter().map(|part| match part {
-        Part::Engine(time) | Part::Outside(time) => *time,
+        PlanPart::Engine(time) | PlanPart::Outside(time) => *time,
     });
     times.sum()
 }
@@ -140,7 +140,7 @@
 impl OracleRun {
     fn run(&mut self) {
         loop {
-            let ready = self.events.peek().map(|Reverse(ready)| ready.at);
+            let ready = self.ready.peek().map(|Reverse(ready)| ready.at);
             let free = self.busy.peek().map(|Reverse(busy)| busy.at);
             let now = match (ready, free) {
                 (None, None) => return,
@@ -154,50 +154,50 @@
                 self.busy.pop();
                 self.advance(busy.program, now);
             }
-            while let Some(Reverse(ready)) = self.events.peek().copied() {
+            while let Some(Reverse(ready)) = self.ready.peek().copied() {
                 if ready.at > now {
                     break;
                 }
-                self.events.pop();
+                self.ready.pop();
                 self.start(ready.program, now);
             }
-            self.fill(now);
+            self.fill_slots(now);
         }
     }
 
-    /// Begins the program's next part.
+    /// Starts the program's next part.
     fn start(&mut self, program: usize, now: f64) {
         match self.parts[program].get(self.next[program]) {
             None => self.ended[program] = now,
-            Some(Part::Engine(_)) => self.waiting.push(program),
-            Some(Part::Outside(time)) => {
+            Some(PlanPart::Engine(_)) => self.waiting.push(program),
+            Some(PlanPart::Outside(time)) => {
                 let at = now + time;
                 self.next[program] += 1;
-                self.events.push(Reverse(Ready { at, program }));
+                self.ready.push(Reverse(ProgramEvent { at, program }));
             }
         }
     }
 
-    /// Ends the program's part at an engine.
+    /// Ends the program's part on an engine.
     fn advance(&mut self, program: usize, now: f64) {
-        if let Some(Part::Engine(time)) = self.parts[program].get(self.next[program]) {
-            self.left[program] -= time;
+        if let Some(PlanPart::Engine(time)) = self.parts[program].get(self.next[program]) {
+            self.work_left[program] -= time;
         }
         self.next[program] += 1;
         self.start(program, now);
     }
 
-    /// Fills free slots with the programs that have the least work left.
-    fn fill(&mut self, now: f64) {
+    /// Assigns free slots to the waiting programs with the least work left.
+    fn fill_slots(&mut self, now: f64) {
         self.waiting
-            .sort_by(|one, other| self.left[*other].total_cmp(&self.left[*one]));
+            .sort_by(|one, other| self.work_left[*other].total_cmp(&self.work_left[*one]));
         while self.busy.len() < self.slots {
             let Some(program) = self.waiting.pop() else {
                 return;
             };
-            if let Some(Part::Engine(time)) = self.parts[program].get(self.next[program]) {
+            if let Some(PlanPart::Engine(time)) = self.parts[program].get(self.next[program]) {
                 let at = now + time;
-                self.busy.push(Reverse(Ready { at, program }));
+                self.busy.push(Reverse(ProgramEvent { at, program }));
             }
         }
     }
--- a/crates/samphiregrade-bench/src/overhead.rs
+++ b/crates/samphiregrade-bench/src/overhead.rs
@@ -1,4 +1,4 @@
-//! What an instance adds to a call, and how many it carries.
+//! Measures the latency that an instance adds to a call, and the throughput of calls.
 
 use std::time::{Duration, Instant};
 
@@ -17,31 +17,31 @@
 use crate::cluster::{Cluster, ClusterSettings};
 use crate::report::TimeQuantiles;
 
-/// Calls one after the other, for the added latency.
+/// Number of sequential calls in the latency measurements.
 const SEQUENTIAL_CALLS: u32 = 3000;
 
-/// Programs at the same time, for the throughput.
+/// Number of concurrent programs in the throughput measurements.
 const PROGRAMS: u32 = 96;
 
-/// Time of the throughput run.
+/// Duration of a throughput measurement.
 const THROUGHPUT_TIME: Duration = Duration::from_secs(6);
 
 /// Measured cost of calls.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct OverheadReport {
-    /// Time of a call that goes directly to the service.
+    /// Latency of a call that is sent directly to the service.
     pub direct: TimeQuantiles,
-    /// Time of the same call as a call of a program, with two backups.
+    /// Latency of the same call as a call of a program, with two backups.
     pub through_instance: TimeQuantiles,
-    /// Calls a second of all programs.
+    /// Calls per second, over all programs.
     pub calls_per_second: f64,
-    /// Processor time of the primary for a call, in seconds.
+    /// Processor time of the primary's failure domain per call, in seconds.
     pub primary_seconds_per_call: f64,
-    /// Processor time of all instances for a call, in seconds.
+    /// Processor time of all instances per call, in seconds.
     pub total_seconds_per_call: f64,
-    /// Streamed calls a second of all programs.
+    /// Streamed calls per second, over all programs.
     pub streams_per_second: f64,
-    /// Processor time of all instances for a streamed call, in seconds.
+    /// Processor time of all instances per streamed call, in seconds.
     pub total_seconds_per_stream: f64,
 }
 
@@ -64,11 +64,11 @@
     }
 }
 
-/// Measures; to be called inside a running system.
+/// Measures latency and throughput. Must be called inside a running ntex system.
 ///
 /// # Errors
 ///
-/// Returns what could not be started, or the first refused call.
+/// Returns an error if the cluster can't be started, or if a call of the latency measurements fails.
 pub async fn measure_overhead() -> Result<OverheadReport> {
     let cluster = Cluster::start(settings()).await?;
     let direct = measure_direct(&cluster).await?;
@@ -89,12 +89,12 @@
 }
 
 async fn measure_direct(cluster: &Cluster) -> Result<TimeQuantiles> {
-    let dump = cluster
+    let address = cluster
         .direct_address("application-0")
-        .context("a service")?;
+        .context("the deployment has no service `application-0`")?;
     let mut times = Vec::new();
     for number in 0..SEQUENTIAL_CALLS {
-        let request = OutgoingRequest::post_json(&format!("{dump}/invoke/run"), &number)
+        let request = OutgoingRequest::post_json(&format!("{address}/invoke/run"), &number)
             .with_header("idempotency-key", &format!("direct/{number}"));
         let started = Instant::now();
         let mut response = cluster.pool.send(request).await?;
@@ -139,7 +139,7 @@
     }
 }
 
-/// Sends one call to an instance and reads the whole answer.
+/// Sends one call to an instance and reads the complete response.
 async fn call(
     cluster: &Cluster,
     entry: &str,
@@ -152,19 +152,19 @@
     let request = OutgoingRequest::post_json(&url, body)
         .with_header("authorization", &format!("Bearer {token}"));
     let mut response = cluster.pool.send(request).await?;
-    let answer = response.read_all().await?;
-    let text = String::from_utf8_lossy(&answer);
+    let body = response.read_all().await?;
+    let text = String::from_utf8_lossy(&body);
     anyhow::ensure!(response.status == 200, "status {}: {text}", response.status);
     Ok(())
 }
 
-/// Measures calls that reach the primary at once, and wait for both backups twice.
+/// Measures calls that are sent directly to the primary, and wait for both backups twice.
 async fn measure_through(cluster: &Cluster) -> Result<TimeQuantiles> {
     let domain = cluster.settings.deployment.domains[0].name.clone();
     let mut times = Vec::new();
-    let mut made = 0;
+    let mut completed_calls = 0;
     let mut programs = 0;
-    while made < SEQUENTIAL_CALLS {
+    while completed_calls < SEQUENTIAL_CALLS {
         let program = begin(cluster, &domain, format_smolstr!("through-{programs}")).await?;
         programs += 1;
         let Some(entry) = cluster.primary_entry(&program).await else {
@@ -174,13 +174,14 @@
             let started = Instant::now();
             call(cluster, &entry, &program, sequence, &service_call(sequence)).await?;
             times.push(started.elapsed());
-            made += 1;
+            completed_calls += 1;
         }
     }
     Ok(TimeQuantiles::of(times))
 }
 
-/// Measures calls a second and the processor time of a call at its primary and over all instances.
+/// Measures the calls per second, and the processor time per call in the primary's failure domain and over all
+/// instances.
 async fn measure_throughput(
     cluster: &Cluster,
     key: &str,
@@ -190,35 +191,47 @@
     let mut programs = Vec::new();
     for number in 0..PROGRAMS {
         let program = begin(cluster, &domain, format_smolstr!("{key}-{number}")).await?;
-        let entry = cluster.primary_entry(&program).await.context("a primary")?;
+        let entry = cluster
+            .primary_entry(&program)
+            .await
+            .context("no instance reports the primary of a new program")?;
         programs.push((program, entry));
     }
-    let of_domain = |cluster: &Cluster, only: Option<&SmolStr>| -> f64 {
+    let cpu_seconds = |cluster: &Cluster, only: Option<&SmolStr>| -> f64 {
         let instances = cluster.instances.values();
-        let chosen = instances.filter(|one| only.is_none_or(|domain| one.domain == *domain));
-        chosen.map(|one| one.usage().cpu.as_secs_f64()).sum()
+        let chosen =
+            instances.filter(|instance| only.is_none_or(|domain| instance.domain == *domain));
+        chosen
+            .map(|instance| instance.usage().cpu.as_secs_f64())
+            .sum()
     };
-    let before = (of_domain(cluster, Some(&domain)), of_domain(cluster, None));
+    let before = (
+        cpu_seconds(cluster, Some(&domain)),
+        cpu_seconds(cluster, None),
+    );
     let started = Instant::now();
     let runs = programs.iter().map(async |(program, entry)| {
-        let mut made = 0_u32;
-        while started.elapsed() < THROUGHPUT_TIME && made < 390 {
-            made += 1;
+        let mut call_count = 0_u32;
+        while started.elapsed() < THROUGHPUT_TIME && call_count < 390 {
+            call_count += 1;
             let body = if streamed {
-                streamed_call(made)
+                streamed_call(call_count)
             } else {
-                service_call(made)
+                service_call(call_count)
             };
-            if call(cluster, entry, program, made, &body).await.is_err() {
-                return made - 1;
+            if call(cluster, entry, program, call_count, &body)
+                .await
+                .is_err()
+            {
+                return call_count - 1;
             }
         }
-        made
+        call_count
     });
     let total: u32 = join_all(runs).await.into_iter().sum();
     let seconds = started.elapsed().as_secs_f64();
     let total = f64::from(total.max(1));
-    let primary = of_domain(cluster, Some(&domain)) - before.0;
-    let all = of_domain(cluster, None) - before.1;
+    let primary = cpu_seconds(cluster, Some(&domain)) - before.0;
+    let all = cpu_seconds(cluster, None) - before.1;
     Ok((total / seconds, primary / total, all / total))
 }
--- a/crates/samphiregrade-bench/src/report.rs
+++ b/crates/samphiregrade-bench/src/report.rs
@@ -8,44 +8,44 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// How programs ended for their callers.
+/// Number of programs by result, as seen by their callers.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct ProgramCounts {
-    /// Begun, sub-agents included.
+    /// Started programs, including sub-agents.
     pub begun: u64,
-    /// Every step answered.
+    /// Programs with a response to every step.
     pub finished: u64,
-    /// Refused, and what was refused did not run.
+    /// Programs with a refused call that did not run.
     pub refused_not_run: u64,
-    /// The outcome of a call is unknown.
+    /// Programs with a call whose outcome is unknown.
     pub outcome_unknown: u64,
-    /// No final answer.
+    /// Programs without a final response.
     pub unanswered: u64,
 }
 
 /// Quantiles of a time in seconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct TimeQuantiles {
-    /// Half of the values are below.
+    /// Median.
     pub p50: f64,
-    /// 95 in 100 are below.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99 in 100 are below.
+    /// 99th percentile.
     pub p99: f64,
-    /// The largest.
+    /// Maximum.
     pub max: f64,
     /// Number of values.
     pub count: u64,
 }
 
 impl TimeQuantiles {
-    /// Computes the quantiles of some times.
+    /// Computes the quantiles of the given times.
     #[must_use]
     pub fn of<Times>(times: Times) -> Self
     where
         Times: IntoIterator<Item = Duration>,
     {
-        // Three digits over microseconds up to an hour.
+        // Three significant digits, from one microsecond to one hour.
         let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, 3_600_000_000, 3) else {
             return Self::default();
         };
@@ -66,62 +66,62 @@
     }
 }
 
-/// What became of the engines' caches.
+/// Use of the engines' caches.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct CacheCounts {
     /// Prompt tokens prefilled.
     pub prefill_tokens: u64,
-    /// Of these, tokens that some engine had cached for the same program before.
+    /// Prefilled tokens that some engine had cached for the same program before.
     pub recomputed_tokens: u64,
-    /// Requests that went to another engine than the program's request before.
+    /// Requests that went to a different engine than the previous request of the program.
     pub moved_requests: u64,
     /// `recomputed_tokens` / `prefill_tokens`.
     pub wasted_fraction: f64,
-    /// Tokens held for programs times seconds.
+    /// Tokens held for programs, multiplied by the seconds that they were held.
     pub idle_hold_token_seconds: f64,
 }
 
-/// Broken promises; every number has to be 0.
+/// Violations of guarantees; every count must be 0.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct ViolationCounts {
-    /// Calls that must not be repeated, executed more than once.
+    /// Calls that are not idempotent but were executed more than once.
     pub duplicate_non_idempotent: u64,
-    /// Calls refused as not run that were executed.
+    /// Calls that were refused as not run but were executed.
     pub false_not_run: u64,
-    /// Calls executed before an earlier one of their program.
+    /// Calls that were executed before an earlier call of their program.
     pub order: u64,
-    /// Prompts that were not the program's conversation.
+    /// Executions whose prompt differs from the program's conversation.
     pub history: u64,
-    /// Programs that used more than their budget.
+    /// Programs that exceeded their token budget.
     pub budget: u64,
-    /// Holds of ended programs left at engines.
+    /// Finished programs whose holds remain at engines.
     pub holds_left: u64,
-    /// Answers that were not the right ones.
+    /// Responses with wrong content.
     pub wrong_answer: u64,
-    /// Calls begun at upstreams that were leaving.
+    /// Calls that were started at leaving upstreams.
     pub work_after_leaving: u64,
-    /// Requests that a graceful shutdown has broken off.
+    /// Requests that were interrupted by a graceful shutdown.
     pub interrupted_by_shutdown: u64,
-    /// Times that a configuration in force went back, or an accepted change was lost.
+    /// Number of times that an active configuration was reverted or an accepted change was lost.
     pub configuration_reverted: u64,
 }
 
 impl ViolationCounts {
-    /// Returns whether no promise was broken.
+    /// Returns whether no guarantee was violated.
     #[must_use]
     pub fn none(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// What control has cost.
+/// Cost of control.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct ControlCost {
-    /// Calls of the key-value service a second, over all instances.
+    /// Calls of the key-value service per second, over all instances.
     pub platform_calls_per_second: f64,
-    /// Bytes between instances a second, over all links.
+    /// Bytes sent between instances per second, over all links.
     pub peer_bytes_per_second: f64,
-    /// Processor time of all instances.
+    /// Processor time of all instances, in seconds.
     pub cpu_seconds: f64,
     /// Largest memory of an instance in bytes.
     pub rss_bytes_max: u64,
@@ -132,36 +132,36 @@
 pub struct ScenarioReport {
     /// Name of the scenario.
     pub scenario: SmolStr,
-    /// How work was scheduled.
+    /// Scheduling policy.
     pub policy: PolicyName,
     /// Seed of the load.
     pub seed: u64,
-    /// Programs begun a second.
+    /// Programs started per second.
     pub programs_per_second: f64,
-    /// How programs ended.
+    /// Number of programs by result.
     pub programs: ProgramCounts,
-    /// Program latency by class, and of all.
+    /// Program latency by class; the key `all` covers all classes.
     pub latency_seconds: BTreeMap<SmolStr, TimeQuantiles>,
-    /// Caches.
+    /// Use of the engines' caches.
     pub cache: CacheCounts,
-    /// Broken promises.
+    /// Violations of guarantees.
     pub violations: ViolationCounts,
-    /// From an interruption to the answer of the calls that it caught.
+    /// Time from an interruption to the response, for the calls that were interrupted.
     pub recovery_seconds: TimeQuantiles,
-    /// From an accepted change to its being in force at every instance.
+    /// Time from an accepted change of the configuration to its activation, one value for each instance.
     pub configuration_seconds: TimeQuantiles,
     /// Cost of control.
     pub control: ControlCost,
-    /// Requests waiting at the engines over time: seconds, and the mean over the engines.
+    /// Requests waiting at the engines over time, as pairs of seconds and the mean over the engines.
     pub queue: Vec<(f64, f64)>,
-    /// Mean over time of the busiest engine's requests less the idlest one's.
+    /// Mean over time of the difference in requests between the busiest and the least busy engine.
     pub engine_spread: f64,
-    /// Reasons for programs that did not finish, each once with its number.
+    /// Number of programs that did not finish, by reason.
     pub failures: BTreeMap<SmolStr, u64>,
 }
 
 impl ScenarioReport {
-    /// Returns whether no promise was broken and every caller has got a final answer.
+    /// Returns whether no guarantee was violated and every caller received a final response.
     #[must_use]
     pub fn kept_promises(&self) -> bool {
         self.violations.none() && self.programs.unanswered == 0
--- a/crates/samphiregrade-bench/src/run.rs
+++ b/crates/samphiregrade-bench/src/run.rs
@@ -1,4 +1,4 @@
-//! Running a scenario from start to audit.
+//! Runs a scenario, from the start of the cluster to the audit.
 
 mod watch;
 
@@ -18,25 +18,25 @@
 
 use crate::audit::{audit, recovery_times};
 use crate::cluster::{Cluster, ClusterSettings};
-use crate::faults::{ActiveFault, FaultLog, begin_fault, end_fault, note_exit};
+use crate::faults::{ActiveFault, FaultLog, begin_fault, end_fault, record_exit};
 use crate::load::{Arrival, draw_arrivals, engine_capacity};
 use crate::report::{ControlCost, ProgramCounts, ScenarioReport, TimeQuantiles};
 use crate::scenario::{FaultSpec, Scenario};
 use watch::ClusterWatch;
 
-/// Utilisation of a scenario that says nothing about its load.
+/// Utilisation for a scenario that does not set its load.
 const DEFAULT_UTILISATION: f64 = 0.5;
 
-/// Pause after the last answer in which holds are given back.
+/// Pause after the last response, in which instances release holds.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Time after which a balancer notices that an instance is not ready.
-const BALANCER_LAG: Duration = Duration::from_millis(700);
+/// Time that a load balancer takes to notice that an instance is not ready.
+const BALANCER_DELAY: Duration = Duration::from_millis(700);
 
-/// Pause between two looks at the faults.
-const FAULT_PAUSE: Duration = Duration::from_millis(20);
+/// Interval between two checks of the faults.
+const FAULT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Composes the cluster of a scenario.
+/// Returns the cluster settings of a scenario.
 ///
 /// # Errors
 ///
@@ -70,7 +70,7 @@
     })
 }
 
-/// Returns the programs a second that a scenario asks for.
+/// Returns the number of programs per second that a scenario starts.
 #[must_use]
 pub fn arrival_rate(scenario: &Scenario, settings: &ClusterSettings) -> f64 {
     if let Some(rate) = scenario.load.programs_per_second {
@@ -82,11 +82,11 @@
     utilisation * engine_capacity(&deployment.classes, &settings.engine, engines)
 }
 
-/// Runs a scenario on a cluster of its own; to be called inside a running system.
+/// Runs a scenario on a new cluster. Must be called inside a running ntex system.
 ///
 /// # Errors
 ///
-/// Returns what could not be started or does not fit.
+/// Returns an error if the cluster can't be started or a fault has an invalid target.
 pub async fn run_scenario(
     scenario: &Scenario,
     settings: ClusterSettings,
@@ -94,10 +94,10 @@
 ) -> Result<ScenarioReport> {
     let rate = arrival_rate(scenario, &settings);
     let cluster = Cluster::start(settings).await?;
-    run_on(scenario, cluster, rate, progress).await
+    run_on_cluster(scenario, cluster, rate, progress).await
 }
 
-async fn run_on(
+async fn run_on_cluster(
     scenario: &Scenario,
     mut cluster: Cluster,
     rate: f64,
@@ -107,7 +107,7 @@
     let domains: Vec<SmolStr> = deployment
         .domains
         .iter()
-        .map(|one| one.name.clone())
+        .map(|domain| domain.name.clone())
         .collect();
     let arrivals = draw_arrivals(
         &deployment.classes,
@@ -116,10 +116,10 @@
         domains.len(),
         scenario.seed,
     );
-    let patience = scenario.duration + scenario.drain;
+    let retry_timeout = scenario.duration + scenario.drain;
     let callers: Vec<CallerClient> = domains
         .iter()
-        .map(|domain| cluster.caller(domain).with_patience(patience))
+        .map(|domain| cluster.caller(domain).with_patience(retry_timeout))
         .map(|caller| caller.with_attempt_timeout(Duration::from_secs(10)))
         .collect();
     let before = cluster.key_value.stats();
@@ -131,13 +131,13 @@
     let notes = {
         let load = run_load(&arrivals, &callers, &domains, scenario, progress);
         let faults = run_faults(&mut cluster, &scenario.faults, &callers, started, &mut log);
-        let whole = async {
+        let load_or_error = async {
             tokio::select! {
                 notes = load => Ok(notes),
                 error = faults => Err(error),
             }
         };
-        whole.await?
+        load_or_error.await?
     };
     let elapsed = started.elapsed().as_secs_f64();
     let after = cluster.key_value.stats();
@@ -175,7 +175,7 @@
     })
 }
 
-/// Runs the programs, each begun at its time whatever became of the others.
+/// Runs the programs. Each starts at its arrival time, regardless of the progress of the others.
 async fn run_load(
     arrivals: &[Arrival],
     callers: &[CallerClient],
@@ -183,20 +183,20 @@
     scenario: &Scenario,
     progress: bool,
 ) -> Vec<ProgramNote> {
-    let done = Rc::new(RefCell::new(0_usize));
+    let finished_count = Rc::new(RefCell::new(0_usize));
     let runs = arrivals.iter().enumerate().map(|(number, arrival)| {
-        let done = done.clone();
+        let finished_count = finished_count.clone();
         async move {
             tokio::time::sleep(arrival.at).await;
             let key = format_smolstr!("{}-{}-{number}", scenario.name, scenario.seed);
             let home = Some(domains[arrival.domain].clone());
             let caller = &callers[arrival.domain];
             let notes = run_program(caller, &arrival.plan, key, home, None).await;
-            *done.borrow_mut() += 1;
+            *finished_count.borrow_mut() += 1;
             if progress {
                 eprintln!(
                     "{}/{} {:?}",
-                    done.borrow(),
+                    finished_count.borrow(),
                     arrivals.len(),
                     notes[0].verdict
                 );
@@ -207,7 +207,7 @@
     join_all(runs).await.into_iter().flatten().collect()
 }
 
-/// Begins and ends the faults at their times; returns only with an error.
+/// Starts and ends the faults at their times. Returns only if a fault can't be started or ended.
 async fn run_faults(
     cluster: &mut Cluster,
     faults: &[FaultSpec],
@@ -219,11 +219,11 @@
     waiting.sort_by_key(|fault| fault.at);
     let mut active: Vec<(Instant, ActiveFault)> = Vec::new();
     loop {
-        tokio::time::sleep(FAULT_PAUSE).await;
+        tokio::time::sleep(FAULT_CHECK_INTERVAL).await;
         let now = Instant::now();
         let stopped: Vec<SmolStr> = log.stops.iter().map(|stop| stop.instance.clone()).collect();
         for name in stopped {
-            note_exit(cluster, &name, log);
+            record_exit(cluster, &name, log);
         }
         close_stopped(cluster, callers, log);
         if waiting
@@ -232,16 +232,17 @@
         {
             let fault = waiting.remove(0);
             match begin_fault(cluster, fault, log).await {
-                Ok(begun) => {
+                Ok(active_fault) => {
                     let end = fault.lasting.map(|lasting| Instant::now() + lasting);
-                    active.extend(end.map(|end| (end, begun)));
+                    active.extend(end.map(|end| (end, active_fault)));
                 }
                 Err(error) => return error,
             }
         }
-        let (over, still): (Vec<_>, Vec<_>) = active.into_iter().partition(|(end, _)| *end <= now);
-        active = still;
-        for (_, fault) in over {
+        let (ended, remaining): (Vec<_>, Vec<_>) =
+            active.into_iter().partition(|(end, _)| *end <= now);
+        active = remaining;
+        for (_, fault) in ended {
             if let Err(error) = end_fault(cluster, &fault, log) {
                 return error;
             }
@@ -249,14 +250,15 @@
     }
 }
 
-/// Has callers avoid instances that were asked to stop, as a balancer does a moment later.
+/// Makes callers avoid instances that received the stop signal, after the delay of a load balancer.
 fn close_stopped(cluster: &Cluster, callers: &[CallerClient], log: &FaultLog) {
     for stop in &log.stops {
-        let noticed = stop.began.elapsed() >= BALANCER_LAG;
-        let back = cluster.instances.get(&stop.instance);
-        let back = stop.ended.is_some() && back.is_some_and(|instance| instance.id().is_some());
+        let noticed = stop.began.elapsed() >= BALANCER_DELAY;
+        let instance = cluster.instances.get(&stop.instance);
+        let restarted =
+            stop.ended.is_some() && instance.is_some_and(|instance| instance.id().is_some());
         for caller in callers {
-            caller.set_closed(&stop.entry, noticed && !back);
+            caller.set_closed(&stop.entry, noticed && !restarted);
         }
     }
 }
@@ -277,24 +279,24 @@
     memories.max().unwrap_or(0)
 }
 
-/// Counts attempts that broke off between the begin and the end of a graceful stop.
+/// Counts attempts that failed between the start and the end of a graceful stop, and stops with an error status.
 fn count_interrupted(cluster: &mut Cluster, callers: &[CallerClient], log: &mut FaultLog) -> u64 {
     let stops: Vec<SmolStr> = log.stops.iter().map(|stop| stop.instance.clone()).collect();
     for name in stops {
-        note_exit(cluster, &name, log);
+        record_exit(cluster, &name, log);
     }
     let failures: Vec<_> = callers.iter().flat_map(CallerClient::failures).collect();
     let mut count = 0;
     for stop in &log.stops {
-        // The stop's end is seen late by at most two looks at the faults.
+        // The end of a stop is noticed at most two checks of the faults late.
         let end = stop.ended.map_or_else(Instant::now, |(at, _)| {
-            at.checked_sub(FAULT_PAUSE * 3).unwrap()
+            at.checked_sub(FAULT_CHECK_INTERVAL * 3).unwrap()
         });
-        let broken = failures
+        let interrupted = failures
             .iter()
             .filter(|failure| failure.entry == stop.entry)
             .filter(|failure| failure.at > stop.began && failure.at < end);
-        count += broken.count() as u64;
+        count += interrupted.count() as u64;
         count += u64::from(stop.ended.is_some_and(|(_, status)| status != 0));
     }
     count
--- a/crates/samphiregrade-bench/src/run/watch.rs
+++ b/crates/samphiregrade-bench/src/run/watch.rs
@@ -1,4 +1,4 @@
-//! Watching a cluster from outside while a scenario runs.
+//! Samples the metrics and queues of a cluster while a scenario runs.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,48 +12,48 @@
 use crate::cluster::Cluster;
 use crate::faults::FaultLog;
 
-/// Time between two looks.
+/// Interval between two samples.
 const WATCH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Longest wait for an instance's metrics.
+/// Timeout for a request for an instance's metrics.
 const METRICS_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Metric that tells the revision in force.
+/// Metric with the active revision of the configuration.
 const REVISION_METRIC: &str = "samphiregrade_configuration_revision ";
 
-/// Metric that tells since when an instance runs: it starts at 0 again with every process.
-const SERVED_METRIC: &str = "samphiregrade_log_entries_total ";
+/// Counter that restarts at 0 with every process, and so reveals a restart of the instance.
+const LOG_ENTRIES_METRIC: &str = "samphiregrade_log_entries_total ";
 
 #[derive(Clone, Copy, Debug)]
-struct RevisionSight {
+struct RevisionSample {
     at: Instant,
     revision: u64,
 }
 
 #[derive(Debug, Default)]
 struct WatchState {
-    sights: BTreeMap<SmolStr, Vec<RevisionSight>>,
+    samples: BTreeMap<SmolStr, Vec<RevisionSample>>,
     reverted: u64,
     queue: Vec<(f64, f64)>,
     spread: Vec<f64>,
 }
 
-/// Watches a cluster until it is finished.
+/// A background task that samples a cluster until [`finish`](Self::finish) is called.
 pub struct ClusterWatch {
     state: Arc<Mutex<WatchState>>,
     task: JoinHandle<()>,
 }
 
-/// What was seen.
+/// Summary of the samples.
 #[derive(Debug, Default)]
 pub struct WatchResult {
-    /// Times that a revision in force went back.
+    /// Number of times that the active revision of an instance went back.
     pub reverted: u64,
-    /// Times from accepted changes to their being in force at an instance.
+    /// Times from accepted changes to their activation at an instance.
     pub configuration: Vec<Duration>,
-    /// Requests waiting at the engines over time.
+    /// Requests waiting at the engines over time, as pairs of seconds and the mean over the engines.
     pub queue: Vec<(f64, f64)>,
-    /// Mean over time of the busiest engine's requests less the idlest one's.
+    /// Mean over time of the difference in requests between the busiest and the least busy engine.
     pub spread: f64,
 }
 
@@ -68,20 +68,20 @@
 
 fn metric(text: &str, name: &str) -> Option<u64> {
     let line = text.lines().find(|line| line.starts_with(name))?;
-    line.rsplit(' ').next()?.parse::<f64>().ok().map(whole)
+    line.rsplit(' ').next()?.parse::<f64>().ok().map(to_integer)
 }
 
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "counters are whole and not negative"
+    reason = "counters are integers and not negative"
 )]
-fn whole(value: f64) -> u64 {
+fn to_integer(value: f64) -> u64 {
     value as u64
 }
 
 impl ClusterWatch {
-    /// Begins to watch.
+    /// Starts sampling.
     pub fn start(cluster: &Cluster, started: Instant) -> Self {
         let state: Arc<Mutex<WatchState>> = Arc::default();
         let operators: Vec<(SmolStr, SmolStr)> = cluster
@@ -100,17 +100,17 @@
         Self { state, task }
     }
 
-    /// Ends the watch and sums up.
+    /// Stops sampling and summarises the samples.
     pub fn finish(self, faults: &FaultLog) -> WatchResult {
         self.task.abort();
         let state = lock(&self.state);
         let mut configuration = Vec::new();
         for (revision, accepted) in &faults.changes {
-            for sights in state.sights.values() {
-                let seen = sights
+            for samples in state.samples.values() {
+                let seen = samples
                     .iter()
-                    .find(|sight| sight.at >= *accepted && sight.revision >= *revision);
-                configuration.extend(seen.map(|sight| sight.at - *accepted));
+                    .find(|sample| sample.at >= *accepted && sample.revision >= *revision);
+                configuration.extend(seen.map(|sample| sample.at - *accepted));
             }
         }
         WatchResult {
@@ -129,10 +129,10 @@
     started: Instant,
     state: Arc<Mutex<WatchState>>,
 ) {
-    let mut served: BTreeMap<SmolStr, u64> = BTreeMap::new();
+    let mut entry_counts: BTreeMap<SmolStr, u64> = BTreeMap::new();
     loop {
         tokio::time::sleep(WATCH_INTERVAL).await;
-        note_queue(&engines, started, &state);
+        record_queue(&engines, started, &state);
         for (name, base) in &operators {
             let request = OutgoingRequest::get(&format!("{base}/metrics"));
             let Ok(mut response) = pool.send(request.with_timeout(METRICS_TIMEOUT)).await else {
@@ -142,32 +142,32 @@
                 continue;
             };
             let text = String::from_utf8_lossy(&body);
-            let entries = metric(&text, SERVED_METRIC).unwrap_or(0);
-            let restarted = served.insert(name.clone(), entries).unwrap_or(0) > entries;
+            let entries = metric(&text, LOG_ENTRIES_METRIC).unwrap_or(0);
+            let restarted = entry_counts.insert(name.clone(), entries).unwrap_or(0) > entries;
             let Some(revision) = metric(&text, REVISION_METRIC) else {
                 continue;
             };
-            note_revision(name, revision, restarted, &state);
+            record_revision(name, revision, restarted, &state);
         }
     }
 }
 
-fn note_revision(name: &SmolStr, revision: u64, restarted: bool, state: &Mutex<WatchState>) {
+fn record_revision(name: &SmolStr, revision: u64, restarted: bool, state: &Mutex<WatchState>) {
     let mut state = lock(state);
-    let sights = state.sights.entry(name.clone()).or_default();
-    let last = sights.last().map_or(0, |sight| sight.revision);
-    sights.push(RevisionSight {
+    let samples = state.samples.entry(name.clone()).or_default();
+    let last = samples.last().map_or(0, |sample| sample.revision);
+    samples.push(RevisionSample {
         at: Instant::now(),
         revision,
     });
-    // A process that has just begun may not know the configuration yet, and says so by 0.
+    // A process that has just started may not know the configuration yet, and reports revision 0.
     if revision < last && !restarted && revision > 0 {
         state.reverted += 1;
     }
 }
 
 #[expect(clippy::cast_precision_loss, reason = "numbers of requests are small")]
-fn note_queue(engines: &[EngineStandin], started: Instant, state: &Mutex<WatchState>) {
+fn record_queue(engines: &[EngineStandin], started: Instant, state: &Mutex<WatchState>) {
     let queued: usize = engines.iter().map(EngineStandin::queued).sum();
     let mean = queued as f64 / engines.len().max(1) as f64;
     let requests = || engines.iter().map(EngineStandin::in_flight);
--- a/crates/samphiregrade-bench/src/scenario.rs
+++ b/crates/samphiregrade-bench/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios: what load runs, and what fails when.
+//! Scenario files: the load of a cluster, and the faults to inject.
 
 use std::fs;
 use std::path::Path;
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the text.
+/// Returns an error if the number, the unit or the sign is invalid.
 pub fn parse_duration(text: &str) -> Result<Duration> {
     let split = text
         .find(|letter: char| letter.is_ascii_alphabetic())
@@ -38,7 +38,7 @@
     let number: f64 = number
         .trim()
         .parse()
-        .with_context(|| format!("`{text}` is no duration"))?;
+        .with_context(|| format!("`{text}` is not a duration"))?;
     let scale = match unit {
         "ms" => 0.001,
         "s" => 1.0,
@@ -52,25 +52,25 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// End a process at once; it starts empty after the time.
+    /// Kill a process; it restarts without its memory after the time.
     Kill,
-    /// Stop a process without its knowing.
+    /// Suspend a process, which the process can't detect.
     Pause,
-    /// Ask a process to shut down; it starts again after the time.
+    /// Shut a process down gracefully; it restarts after the time.
     Stop,
-    /// A service refuses every call.
+    /// The key-value service refuses every call, or the links of any other target carry nothing.
     Outage,
-    /// Answers are late by `delay`.
+    /// Responses are delayed by `delay`.
     Slow,
-    /// Replies are lost after the request took effect, by `fraction`.
+    /// The share `fraction` of the responses is lost after the request took effect.
     LoseReplies,
-    /// A link carries nothing.
+    /// The selected links carry nothing.
     Cut,
     /// An upstream starts to leave.
     Leave,
-    /// A tool executes and never answers.
+    /// A tool executes its calls and never responds.
     Hang,
-    /// Cache events and load reports stop.
+    /// Engines send no cache events and no load reports.
     Silence,
     /// Operators race to change the same record.
     ChangeRecord,
@@ -80,56 +80,56 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct FaultSpec {
-    /// When it begins.
+    /// Start time, from the start of the load.
     #[serde(deserialize_with = "duration")]
     pub at: Duration,
-    /// How long it lasts; for good where it is left out.
+    /// Duration; without it the fault never ends.
     #[serde(default, rename = "for", deserialize_with = "optional_duration")]
     pub lasting: Option<Duration>,
-    /// What fails.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Where.
+    /// Affected instances, upstream or service, such as `primary`, `upstream:NAME` or `key-value`.
     #[serde(default)]
     pub target: SmolStr,
-    /// Between which two targets a link is cut.
+    /// Two targets between which a `cut` interrupts the links.
     #[serde(default)]
     pub between: Vec<SmolStr>,
-    /// Delay of slow answers.
+    /// Delay of slow responses.
     #[serde(default, deserialize_with = "optional_duration")]
     pub delay: Option<Duration>,
-    /// Share of lost replies.
+    /// Share of lost responses.
     #[serde(default)]
     pub fraction: Option<f64>,
-    /// Operators that race.
+    /// Number of racing operators.
     #[serde(default)]
     pub writers: Option<usize>,
 }
 
-/// The load of a scenario: one of the two.
+/// The load of a scenario; at most one of the fields may be set.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct LoadSpec {
     /// Share of the engines' capacity.
     pub utilisation: Option<f64>,
-    /// Programs begun in a second.
+    /// Programs started per second.
     pub programs_per_second: Option<f64>,
 }
 
-/// Sizes of the cluster, where they are not the deployment's own.
+/// Sizes of the cluster that override the deployment's.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct ClusterSpec {
-    /// Instances of each failure domain.
+    /// Number of instances of each failure domain.
     pub instances: Option<usize>,
-    /// Engines.
+    /// Number of engines.
     pub engines: Option<usize>,
-    /// Shards of each failure domain.
+    /// Number of shards of each failure domain.
     pub shards: Option<u16>,
-    /// Requests that an engine runs at once.
+    /// Number of requests that an engine runs concurrently.
     pub engine_slots: Option<usize>,
-    /// Tokens that an engine's cache holds.
+    /// Capacity of an engine's cache in tokens.
     pub engine_cache_tokens: Option<usize>,
-    /// How old engines' load reports may get.
+    /// Interval of the engines' load reports, which bounds the age of a report.
     #[serde(deserialize_with = "optional_duration")]
     pub report_interval: Option<Duration>,
 }
@@ -138,29 +138,29 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Scenario {
-    /// Name.
+    /// Name of the scenario.
     pub name: SmolStr,
     /// Seed of the load.
     #[serde(default = "default_seed")]
     pub seed: u64,
-    /// `cantabrica` or `agrovision`.
+    /// Name of the deployment, `cantabrica` or `agrovision`.
     pub deployment: SmolStr,
-    /// How work is scheduled.
+    /// Scheduling policy.
     #[serde(default)]
     pub policy: PolicyName,
-    /// Time over which programs are begun.
+    /// Time over which programs are started.
     #[serde(deserialize_with = "duration")]
     pub duration: Duration,
-    /// Longest time for programs to end after that.
+    /// Maximum time for programs to end after that.
     #[serde(deserialize_with = "duration")]
     pub drain: Duration,
-    /// Load.
+    /// Load of the cluster.
     #[serde(default)]
     pub load: LoadSpec,
-    /// Sizes.
+    /// Sizes of the cluster.
     #[serde(default)]
     pub cluster: ClusterSpec,
-    /// Faults.
+    /// Faults to inject.
     #[serde(default)]
     pub faults: Vec<FaultSpec>,
 }
@@ -174,7 +174,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the line and what would be right.
+    /// Returns an error that names the file, and the position or the invalid setting.
     pub fn read(path: &Path) -> Result<Self> {
         let text =
             fs::read_to_string(path).with_context(|| format!("reading {}", path.display()))?;
@@ -185,7 +185,7 @@
     ///
     /// # Errors
     ///
-    /// As [`read`](Self::read).
+    /// Returns an error that names the position or the invalid setting.
     pub fn parse(text: &str) -> Result<Self> {
         let scenario: Self = toml::from_str(text)?;
         for fault in &scenario.faults {
@@ -206,16 +206,16 @@
             FaultKind::Slow => ensure!(self.delay.is_some(), "a `slow` fault needs a `delay`"),
             FaultKind::LoseReplies => {
                 let fraction = self.fraction.unwrap_or(-1.0);
-                let fits = (0.0..=1.0).contains(&fraction);
+                let is_in_range = (0.0..=1.0).contains(&fraction);
                 ensure!(
-                    fits,
+                    is_in_range,
                     "a `lose-replies` fault needs a `fraction` from 0 to 1"
                 );
             }
             FaultKind::Cut => {
-                let pair = self.between.len() == 2;
+                let is_pair = self.between.len() == 2;
                 ensure!(
-                    pair || !self.target.is_empty(),
+                    is_pair || !self.target.is_empty(),
                     "a `cut` needs a `target` or `between`"
                 );
             }
--- a/crates/samphiregrade-bench/tests/account.rs
+++ b/crates/samphiregrade-bench/tests/account.rs
@@ -1,9 +1,9 @@
-//! The account of losses from instances' logs.
+//! Tests of the reports from instances' logs: late and failed programs, and configuration lags.
 
 use samphiregrade_bench::account::LossAccount;
 use samphiregrade_bench::lag::LagAccount;
 
-fn line(time: u32, program: &str, outcome: &str, left: u32, more: &str) -> String {
+fn request_line(time: u32, program: &str, outcome: &str, left: u32, more: &str) -> String {
     format!(
         "  12.5 entry-a {{\"time_ms\":{time},\"event\":\"request\",\"request\":\"r\",\"program\":\"{program}\",\
          \"status\":200,\"outcome\":\"{outcome}\",\"program_left_ms\":{left}.0,\"total_ms\":100.0{more}}}"
@@ -11,15 +11,15 @@
 }
 
 #[test]
-fn losses_are_told_by_window_and_cause() {
+fn losses_are_grouped_by_window_and_cause() {
     let cut = ",\"detail\":\"i-1 gave no answer: its system has not acknowledged 20 bytes\"";
     let lines = [
-        line(10_100, "fine", "answered", 900, ""),
-        line(10_200, "cut", "broken", 900, cut),
-        line(10_900, "cut", "answered", 0, ""),
-        line(10_300, "slow", "answered", 0, ""),
-        line(13_500, "refused", "no-keepers", 500, ""),
-        line(13_600, "spent", "over-budget", 500, ""),
+        request_line(10_100, "fine", "answered", 900, ""),
+        request_line(10_200, "cut", "broken", 900, cut),
+        request_line(10_900, "cut", "answered", 0, ""),
+        request_line(10_300, "slow", "answered", 0, ""),
+        request_line(13_500, "refused", "no-keepers", 500, ""),
+        request_line(13_600, "spent", "over-budget", 500, ""),
         "{\"event\":\"start\"}".to_owned(),
         "a line of something else".to_owned(),
         "{\"event\":\"request\",\"time_ms\":tw".to_owned(),
@@ -44,37 +44,40 @@
     assert!(account.plot().expect("a picture").contains("<svg"));
 }
 
-fn taken(instance: &str, time: u32, version: u32) -> String {
+fn configuration_line(instance: &str, time: u32, version: u32) -> String {
     format!(
         "  12.5 {instance} {{\"time_ms\":{time},\"event\":\"configuration\",\"version\":{version},\"routes\":3}}"
     )
 }
 
-fn started(instance: &str, time: u32) -> String {
+fn start_line(instance: &str, time: u32) -> String {
     format!(
         "  12.5 {instance} {{\"time_ms\":{time},\"event\":\"start\",\"instance\":\"{instance}\",\"version\":\"0.1.0\"}}"
     )
 }
 
 #[test]
-fn an_entry_that_keeps_an_older_configuration_is_told() {
+fn entry_with_an_older_configuration_is_reported() {
     let lines = [
-        taken("entry-a", 10_000, 4),
-        taken("entry-b", 10_100, 4),
-        taken("entry-a", 11_000, 7),
-        taken("entry-b", 13_400, 7),
-        taken("entry-a", 12_000, 9),
-        taken("entry-b", 13_400, 9),
-        started("entry-c", 20_000),
-        taken("entry-c", 20_100, 9),
+        configuration_line("entry-a", 10_000, 4),
+        configuration_line("entry-b", 10_100, 4),
+        configuration_line("entry-a", 11_000, 7),
+        configuration_line("entry-b", 13_400, 7),
+        configuration_line("entry-a", 12_000, 9),
+        configuration_line("entry-b", 13_400, 9),
+        start_line("entry-c", 20_000),
+        configuration_line("entry-c", 20_100, 9),
     ];
     let account = LagAccount::read(lines.iter().map(String::as_str));
     assert_eq!(account.versions, 3);
     let lag = &account.lags[0];
     assert_eq!((lag.instance.as_str(), lag.version), ("entry-b", 7));
     assert!((lag.milliseconds - 2400.0).abs() < 0.1);
-    let late_start = account.lags.iter().any(|lag| lag.instance == "entry-c");
-    assert!(!late_start, "what it missed while it was away is no lag");
+    let has_late_start = account.lags.iter().any(|lag| lag.instance == "entry-c");
+    assert!(
+        !has_late_start,
+        "versions applied by others while the instance was down are not a lag"
+    );
     assert!(
         account
             .table()
