--- a/crates/samphiregrade-bench/src/faults.rs
+++ b/crates/samphiregrade-bench/src/faults.rs
@@ -71,7 +71,7 @@
 pub enum LinkSelector {
     /// Links whose names start with the prefix.
     Prefix(SmolStr),
-    /// Links from a group of instances to other instances, to the key-value service and to the instance list.
+    /// Links between a group of instances and the other instances, the key-value service and the instance list.
     Around(Vec<InstanceName>),
     /// The links between two groups of instances.
     Between(Vec<InstanceName>, Vec<InstanceName>),
--- a/crates/samphiregrade-bench/src/overhead.rs
+++ b/crates/samphiregrade-bench/src/overhead.rs
@@ -89,12 +89,12 @@
 }
 
 async fn measure_direct(cluster: &Cluster) -> Result<TimeQuantiles> {
-    let address = cluster
+    let dump = cluster
         .direct_address("application-0")
         .context("the deployment has no service `application-0`")?;
     let mut times = Vec::new();
     for number in 0..SEQUENTIAL_CALLS {
-        let request = OutgoingRequest::post_json(&format!("{address}/invoke/run"), &number)
+        let request = OutgoingRequest::post_json(&format!("{dump}/invoke/run"), &number)
             .with_header("idempotency-key", &format!("direct/{number}"));
         let started = Instant::now();
         let mut response = cluster.pool.send(request).await?;
