--- a/src/contract/mod.rs
+++ b/src/contract/mod.rs
@@ -1,4 +1,4 @@
-//! What callers and the system promise each other: requests, answers and refusals.
+//! The contract with callers: requests, responses and refusals.
 
 mod refusal;
 mod request;
--- a/src/contract/refusal.rs
+++ b/src/contract/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals: what was not done, whether it ran, why, and what the caller can do.
+//! Refusals: why a request was not served, whether it may have run, and what the caller can do.
 
 use std::fmt;
 use std::time::Duration;
@@ -11,9 +11,9 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RanState {
-    /// It did not run, and under its key it never will unless the caller asks again.
+    /// The request did not run, and it will never run under its key unless the caller sends it again.
     No,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
@@ -21,19 +21,19 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RefusalKind {
-    /// The body, a field or a parameter is wrong.
+    /// The body, a field or a parameter is invalid.
     BadRequest,
     /// The token is missing or unknown.
     Unauthorized,
-    /// There is no such address.
+    /// The address does not exist.
     UnknownAddress,
-    /// There is no such program, or it belongs to another organisation.
+    /// The program does not exist or belongs to another organisation.
     UnknownProgram,
-    /// No record allows the program class.
+    /// No record defines the program class.
     UnknownClass,
-    /// No record names the model or service.
+    /// No record defines the model or service.
     UnknownUpstream,
-    /// The same key came before with another body.
+    /// The same key was used before with another body.
     KeyReused,
     /// An earlier call of the program has not finished.
     OutOfOrder,
@@ -45,26 +45,26 @@
     LoopDetected,
     /// The deadline has passed or can't be met.
     DeadlinePassed,
-    /// There is more work than can be served.
+    /// There is more work than can be served in time.
     Overloaded,
     /// The shard has no primary that can commit.
     ShardUnavailable,
-    /// The call must not be repeated, and no copy outside of the failure domain can be told of it.
+    /// The call must not be repeated, and it can't be replicated to a copy outside the failure domain.
     Unprotected,
-    /// No upstream that could serve the call is in reach.
+    /// No upstream that could serve the call is reachable.
     UpstreamUnavailable,
-    /// The upstream gave no answer in time.
+    /// The upstream did not respond in time.
     UpstreamTimeout,
-    /// The upstreams failed the call again and again.
+    /// Upstreams failed the call repeatedly.
     UpstreamFailed,
-    /// The outcome of a call that must not be repeated can't be known.
+    /// The outcome of a call that must not be repeated can't be determined.
     OutcomeUnknown,
     /// The instance is shutting down.
     ShuttingDown,
 }
 
 impl RefusalKind {
-    /// HTTP status of the refusal.
+    /// Returns the HTTP status of the refusal.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// What the caller can do.
+    /// Returns what the caller can do.
     #[must_use]
     pub fn remedy(self) -> &'static str {
         match self {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Returns whether asking again with the same key can bring another answer.
+    /// Returns whether a retry with the same key can have another result.
     #[must_use]
     pub fn is_transient(self) -> bool {
         matches!(
@@ -135,7 +135,7 @@
         )
     }
 
-    /// Name of the kind as callers see it.
+    /// Returns the name of the kind as callers see it.
     #[must_use]
     pub fn name(self) -> SmolStr {
         serde_json::to_value(self)
@@ -148,36 +148,36 @@
 /// A request that was not served.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request was refused.
     pub kind: RefusalKind,
-    /// Whether it ran.
+    /// Whether the request may have run.
     pub ran: RanState,
-    /// What exactly was wrong.
+    /// Exact reason of the refusal.
     pub detail: SmolStr,
-    /// When to ask again, for transient refusals.
+    /// Time after which to retry, for transient refusals.
     pub retry_after: Option<Duration>,
 }
 
-/// A refusal as callers read it, by the problem+json format.
+/// Body of a refusal in the problem+json format.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ProblemBody {
     /// Name of the kind.
     #[serde(rename = "type")]
     pub kind: SmolStr,
-    /// What was wrong.
+    /// Exact reason of the refusal.
     pub title: SmolStr,
     /// HTTP status.
     pub status: u16,
-    /// Whether the request ran.
+    /// Whether the request may have run.
     pub ran: RanState,
     /// What the caller can do.
     pub remedy: SmolStr,
-    /// Whether asking again with the same key can bring another answer.
+    /// Whether a retry with the same key can have another result.
     pub transient: bool,
 }
 
 impl Refusal {
-    /// Refuses a request that certainly did not run.
+    /// Creates a refusal of a request that certainly did not run.
     pub fn not_run<Detail>(kind: RefusalKind, detail: Detail) -> Self
     where
         Detail: Into<SmolStr>,
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Refuses a request that may have run.
+    /// Creates a refusal of a request that may have run.
     pub fn unknown<Detail>(kind: RefusalKind, detail: Detail) -> Self
     where
         Detail: Into<SmolStr>,
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Tells the caller when to ask again.
+    /// Sets the time after which the caller should retry.
     #[must_use]
     pub fn with_retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
@@ -224,14 +224,14 @@
         let Some(wait) = self.retry_after else {
             return response;
         };
-        let seconds = format!("{:.3}", wait.as_secs_f64().max(0.001));
-        // The standard header has whole seconds only; the exact wait stands beside it.
+        let exact_wait = format!("{:.3}", wait.as_secs_f64().max(0.001));
+        // The standard header allows only whole seconds, so a second header has the exact wait.
         response
             .with_header(
                 "retry-after",
                 &wait.as_secs_f64().ceil().max(1.0).to_string(),
             )
-            .with_header("retry-after-exact", &seconds)
+            .with_header("retry-after-exact", &exact_wait)
     }
 }
 
--- a/src/contract/request.rs
+++ b/src/contract/request.rs
@@ -1,4 +1,4 @@
-//! Requests of callers and the bodies that answer them.
+//! Request and response bodies of the callers' interface.
 
 use std::time::Duration;
 
@@ -9,40 +9,40 @@
 
 use crate::ids::{ClassName, ModelName, ProgramId, SequenceNumber, TokenCount};
 
-/// Longest accepted key of a caller, in bytes.
+/// Maximum length of a caller's key in bytes.
 const KEY_LIMIT: usize = 256;
 
-/// Bytes of text that are counted as one token before an engine has counted them.
+/// Bytes of text per token, for estimates until an engine has counted the tokens.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// A wrong field of a request.
+/// An invalid field of a request.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 #[error("field `{field}`: {problem}")]
 pub struct ContractError {
     /// Name of the field.
     pub field: &'static str,
-    /// What is wrong and what would be right.
+    /// What is wrong, and which values are valid.
     pub problem: SmolStr,
 }
 
-/// The begin of a program.
+/// Request to begin a program.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct BeginRequest {
     /// The caller's key; the same key always means the same program.
     pub key: SmolStr,
-    /// Program class, as a record names it.
+    /// Program class, by the name in its record.
     pub class: ClassName,
-    /// Failure domain the program is to live in; chosen from the key where it is left out.
+    /// Failure domain of the program's shard; derived from the key if omitted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub home: Option<SmolStr>,
     /// Tokens the program may use, within what its class allows.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tokens: Option<TokenCount>,
-    /// Milliseconds from now within which the program has to end.
+    /// Time within which the program must end, in milliseconds from now.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u64>,
-    /// Program on whose budget this one draws as a sub-agent.
+    /// Parent program, if this one is a sub-agent that uses the parent's budget.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub parent: Option<ProgramId>,
 }
@@ -52,33 +52,33 @@
     ///
     /// # Errors
     ///
-    /// Returns the first wrong field with what would be right.
+    /// Returns the first invalid field and which values are valid.
     pub fn check(&self) -> Result<(), ContractError> {
-        let wrong = |field, problem| Err(ContractError { field, problem });
+        let invalid = |field, problem| Err(ContractError { field, problem });
         if self.key.is_empty() || self.key.len() > KEY_LIMIT {
-            return wrong("key", format_smolstr!("has to have 1 to {KEY_LIMIT} bytes"));
+            return invalid("key", format_smolstr!("has to have 1 to {KEY_LIMIT} bytes"));
         }
         if self.tokens == Some(0) {
-            return wrong("tokens", "has to be at least 1".into());
+            return invalid("tokens", "has to be at least 1".into());
         }
         if self.deadline_ms == Some(0) {
-            return wrong("deadline-ms", "has to be at least 1".into());
+            return invalid("deadline-ms", "has to be at least 1".into());
         }
         Ok(())
     }
 
-    /// Returns the time within which the program has to end.
+    /// Returns the time within which the program must end.
     #[must_use]
     pub fn deadline(&self) -> Option<Duration> {
         self.deadline_ms.map(Duration::from_millis)
     }
 }
 
-/// The answer to the begin of a program.
+/// Response to the begin of a program.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct BeginReply {
-    /// Id for the program's calls.
+    /// Program id, which the program's calls use.
     pub program: ProgramId,
     /// Tokens the program may use.
     pub tokens: TokenCount,
@@ -94,43 +94,44 @@
     pub content: String,
 }
 
-/// A call of a model: the messages since the last one; the system keeps those before.
+/// A call to a model. It has only the messages since the program's previous call; earlier ones are stored in the
+/// program's history.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ModelCall {
-    /// Model, or left out for the one that the program class names.
+    /// Model; if omitted, the one that the program class names.
     pub model: Option<ModelName>,
     /// New messages.
     pub messages: Vec<ChatMessage>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: TokenCount,
-    /// Whether the answer comes as server-sent events.
+    /// Whether the response is sent as server-sent events.
     pub stream: bool,
 }
 
-/// A call of a tool or plain service.
+/// A call to a tool or plain service.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ServiceCall {
-    /// Service, as a record names it.
+    /// Service, by the name in its record.
     pub service: SmolStr,
-    /// Name of the tool or path within the service.
+    /// Name of the tool, or path within the service.
     pub tool: SmolStr,
     /// Arguments as JSON text.
     pub arguments: String,
-    /// Whether running the call twice does no harm.
+    /// Whether the call can safely run more than once.
     pub idempotent: bool,
 }
 
-/// What a call asks for.
+/// What a call requests.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum CallSpec {
-    /// An answer of a model.
+    /// A response of a model.
     Model(ModelCall),
     /// A result of a tool or plain service.
     Service(ServiceCall),
 }
 
 impl CallSpec {
-    /// Returns whether running the call twice does no harm.
+    /// Returns whether the call can safely run more than once.
     #[must_use]
     pub fn is_idempotent(&self) -> bool {
         match self {
@@ -144,7 +145,10 @@
     pub fn prompt_tokens(&self) -> TokenCount {
         match self {
             Self::Model(call) => {
-                let tokens = call.messages.iter().map(|one| text_tokens(&one.content));
+                let tokens = call
+                    .messages
+                    .iter()
+                    .map(|message| text_tokens(&message.content));
                 tokens.sum()
             }
             Self::Service(_) => 0,
@@ -168,10 +172,10 @@
     /// New messages of a model call.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub messages: Option<Vec<ChatMessage>>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<TokenCount>,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     #[serde(default)]
     pub stream: bool,
     /// Service of a service call.
@@ -183,37 +187,37 @@
     /// Arguments of a service call.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub arguments: Option<Box<RawValue>>,
-    /// Whether a service call may be repeated; it may not where this is left out.
+    /// Whether a service call may be repeated; defaults to false.
     #[serde(default)]
     pub idempotent: bool,
 }
 
-/// Tokens generated at most where a call names no limit.
+/// Maximum number of tokens to generate if a call sets no limit.
 const DEFAULT_MAX_TOKENS: TokenCount = 1024;
 
 impl CallBody {
-    /// Checks the fields and returns what the call asks for.
+    /// Checks the fields and returns the call that they describe.
     ///
     /// # Errors
     ///
-    /// Returns the first wrong field with what would be right.
+    /// Returns the first invalid field and which values are valid.
     pub fn into_spec(self) -> Result<CallSpec, ContractError> {
-        let wrong = |field, problem: &str| {
+        let invalid = |field, problem: &str| {
             let problem = problem.into();
             Err(ContractError { field, problem })
         };
         match (self.messages, self.service) {
-            (Some(_), Some(_)) => wrong(
+            (Some(_), Some(_)) => invalid(
                 "service",
                 "a call has either `messages` or `service`, not both",
             ),
-            (None, None) => wrong("messages", "a call has to have `messages` or `service`"),
+            (None, None) => invalid("messages", "a call has to have `messages` or `service`"),
             (Some(messages), None) => {
                 if messages.is_empty() {
-                    return wrong("messages", "has to hold at least one message");
+                    return invalid("messages", "has to hold at least one message");
                 }
                 if self.max_tokens == Some(0) {
-                    return wrong("max_tokens", "has to be at least 1");
+                    return invalid("max_tokens", "has to be at least 1");
                 }
                 Ok(CallSpec::Model(ModelCall {
                     model: self.model,
@@ -224,7 +228,7 @@
             }
             (None, Some(service)) => {
                 let Some(tool) = self.tool.filter(|tool| is_path_part(tool)) else {
-                    return wrong("tool", "has to have letters, digits, `-`, `_` or `.` only");
+                    return invalid("tool", "has to have letters, digits, `-`, `_` or `.` only");
                 };
                 let arguments = self
                     .arguments
@@ -245,18 +249,18 @@
     !text.is_empty() && text.bytes().all(allowed) && text != ".."
 }
 
-/// Tokens that an answer took.
+/// Tokens used by a model call.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TokenUsage {
-    /// Tokens of the whole prompt.
+    /// Tokens of the entire prompt.
     pub prompt_tokens: TokenCount,
-    /// Tokens generated.
+    /// Generated tokens.
     pub completion_tokens: TokenCount,
     /// Tokens of the prompt that the engine had cached.
     pub cached_tokens: TokenCount,
 }
 
-/// A message of a model, as the answer carries it.
+/// The model's message in a response.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct AnswerMessage {
     /// Always `assistant`.
@@ -265,27 +269,27 @@
     pub content: String,
 }
 
-/// The one choice of an answer.
+/// The only choice of a response.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct AnswerChoice {
     /// Always 0.
     pub index: u32,
     /// The message.
     pub message: AnswerMessage,
-    /// Why the answer ends.
+    /// Reason why generation ended.
     pub finish_reason: SmolStr,
 }
 
-/// The answer to a model call, in the form of a chat completion.
+/// Response to a model call, in the format of a chat completion.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct AnswerBody {
     /// Program and sequence number of the call.
     pub id: SmolStr,
     /// Always `chat.completion`.
     pub object: SmolStr,
-    /// The one choice.
+    /// The only choice.
     pub choices: Vec<AnswerChoice>,
-    /// Tokens taken.
+    /// Tokens used.
     pub usage: TokenUsage,
 }
 
@@ -297,9 +301,9 @@
     pub program: ProgramId,
     /// `running` or `ended`.
     pub status: SmolStr,
-    /// Calls finished.
+    /// Number of finished calls.
     pub calls: SequenceNumber,
-    /// Tokens used, running reservations included.
+    /// Tokens used, including the reservations of running calls.
     pub tokens_used: TokenCount,
     /// Tokens the program may use.
     pub tokens: TokenCount,
--- a/src/instance/news.rs
+++ b/src/instance/news.rs
@@ -48,7 +48,7 @@
     fn gossip_news(&self) -> GossipNews {
         GossipNews {
             map_revisions: self.maps.revisions(),
-            reports: self.queue.report_news(&self.config.load()),
+            reports: self.queue.recent_reports(&self.config.load()),
         }
     }
 
@@ -73,8 +73,9 @@
     pub(super) async fn take_news(&self, probe: ProbeMessage) {
         let gossip = probe.gossip.unwrap_or_default();
         let now = Instant::now();
-        self.queue.take_shares(&probe.from.name, &probe.shares, now);
-        self.queue.take_report_news(&gossip.reports, now);
+        self.queue
+            .record_peer_shares(&probe.from.name, &probe.shares, now);
+        self.queue.record_peer_reports(&gossip.reports, now);
         let Some(address) = self.peers.view().address(&probe.from) else {
             return;
         };
--- a/src/scheduler/admit.rs
+++ b/src/scheduler/admit.rs
@@ -1,4 +1,5 @@
-//! Whether a new program is begun, or refused before it takes room from those under way.
+//! Admission control: decides whether a new program may start, or is refused before it takes capacity from running
+//! programs.
 
 use std::time::Duration;
 
@@ -6,29 +7,29 @@
 
 use crate::contract::{Refusal, RefusalKind};
 
-/// Waiting time of a call that is acceptable for the most urgent class.
+/// Acceptable waiting time of a call of the most urgent class.
 const SHORTEST_LIMIT: Duration = Duration::from_secs(4);
 
-/// Additional acceptable waiting time for each band of priority below.
+/// Additional acceptable waiting time for each priority band below the most urgent one.
 const LIMIT_STEP: Duration = Duration::from_secs(2);
 
-/// Share of the waiting time after which a refused caller should ask again.
+/// Share of the expected waiting time after which a refused caller should retry.
 const RETRY_SHARE: f64 = 0.5;
 
-/// What is known about the room for a new program.
+/// Inputs of the admission decision for a new program.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionView {
-    /// Priority of the class, from 0.
+    /// Priority of the class; 0 is the most urgent.
     pub priority: u8,
-    /// Time that a call of the class would wait now.
+    /// Time that a call of the class would currently wait.
     pub expected_wait: Duration,
-    /// Work that a program of the class needs.
+    /// Engine time that a program of the class is expected to need.
     pub expected_work: Duration,
     /// Time left until the program's deadline.
     pub time_left: Duration,
 }
 
-/// Refuses a program that could not be served in time.
+/// Returns a refusal if the program can't finish before its deadline, or if calls of its class currently wait too long.
 #[must_use]
 pub fn refuse_begin(view: &AdmissionView) -> Option<Refusal> {
     if view.expected_wait + view.expected_work > view.time_left {
--- a/src/scheduler/baseline.rs
+++ b/src/scheduler/baseline.rs
@@ -1,4 +1,5 @@
-//! Baselines to compare with: they send at once and know nothing of programs.
+//! Baseline policies for comparison: they send each call immediately, in order of arrival, and use no statistics of
+//! programs.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -7,7 +8,7 @@
 use super::policy::{SchedulingPolicy, arrival_order};
 use super::view::{EngineView, JobView, OrderKey, PlacementChoice};
 
-/// The next engine in turn.
+/// Sends each call to the next engine in turn.
 #[derive(Clone, Debug, Default)]
 pub struct RoundRobinPolicy {
     next: usize,
@@ -24,7 +25,7 @@
     }
 }
 
-/// The engine with the least requests.
+/// Sends each call to the engine with the fewest requests in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct LeastLoadedPolicy;
 
@@ -39,7 +40,7 @@
     }
 }
 
-/// Always the same engine for a program.
+/// Sends all calls of a program to the same engine, chosen by rendezvous hashing.
 #[derive(Clone, Copy, Debug)]
 pub struct StickyPolicy;
 
--- a/src/scheduler/learn.rs
+++ b/src/scheduler/learn.rs
@@ -1,4 +1,4 @@
-//! What the past programs of a class tell about the next one.
+//! Statistics of the past programs of a class, which predict the next one.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,54 +7,55 @@
 
 use crate::ids::{ClassName, TokenCount};
 
-/// Weight of the newest observation.
-const NEWEST: f64 = 0.05;
+/// Weight of the newest observation in a mean.
+const NEWEST_WEIGHT: f64 = 0.05;
 
-/// Weight of the newest observation among the first few.
-const NEWEST_AT_FIRST: f64 = 0.3;
+/// Weight of the newest observation while only a few have been made, so that the mean adapts quickly at first.
+const EARLY_WEIGHT: f64 = 0.3;
 
-/// Observations that count as the first few.
-const FIRST_FEW: u32 = 10;
+/// Number of observations up to which `EARLY_WEIGHT` applies.
+const EARLY_COUNT: u32 = 10;
 
-/// Longest number of calls that is told apart.
+/// Number of buckets for the calls of a program; programs with more calls share the last bucket.
 const CALL_BUCKETS: usize = 64;
 
-/// A mean that forgets slowly.
+/// An exponentially weighted moving average.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-struct FadingMean {
+struct MovingAverage {
     mean: f64,
     count: u32,
 }
 
-impl FadingMean {
+impl MovingAverage {
     fn observe(&mut self, value: f64) {
         self.count = self.count.saturating_add(1);
         let weight = match self.count {
             1 => 1.0,
-            count if count <= FIRST_FEW => NEWEST_AT_FIRST,
-            _ => NEWEST,
+            count if count <= EARLY_COUNT => EARLY_WEIGHT,
+            _ => NEWEST_WEIGHT,
         };
         self.mean += weight * (value - self.mean);
     }
 }
 
-/// Pause that counts as the answer of a tool and not of a person who left.
+/// Longest pause that counts as a tool's run time; after a longer one the user is assumed to have left.
 const RETURN_WINDOW: Duration = Duration::from_secs(20);
 
-/// What is known of a class.
+/// Statistics of a program class.
 #[derive(Clone, Debug, Default, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ClassHistory {
-    answer_tokens: FadingMean,
-    call_seconds: FadingMean,
-    pause_seconds: FadingMean,
-    returned: FadingMean,
+    answer_tokens: MovingAverage,
+    call_seconds: MovingAverage,
+    pause_seconds: MovingAverage,
+    returned: MovingAverage,
+    /// Number of programs that ended after as many calls as the index says.
     #[serde(skip)]
-    ended_after: Vec<u32>,
+    calls_at_end: Vec<u32>,
 }
 
 impl ClassHistory {
-    /// Returns the tokens an answer is expected to have.
+    /// Returns the expected number of tokens in a response.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
@@ -68,7 +69,7 @@
         self.answer_tokens.mean.max(1.0) as TokenCount
     }
 
-    /// Returns the time a call is expected to take.
+    /// Returns the expected duration of a call.
     #[must_use]
     pub fn call_time(&self) -> Duration {
         if self.call_seconds.count == 0 {
@@ -77,57 +78,58 @@
         Duration::from_secs_f64(self.call_seconds.mean.max(0.001))
     }
 
-    /// Returns the calls that a program is expected to have after so many, by those that had as many.
+    /// Returns how many more calls a program is expected to make after `calls` calls: the mean over past programs that
+    /// made at least as many, or 1 if there is none.
     #[must_use]
     pub fn remaining_calls(&self, calls: u32) -> f64 {
-        let reached = self.ended_after.iter().enumerate().skip(calls as usize);
-        let (mut programs, mut total) = (0.0, 0.0);
-        for (after, count) in reached {
+        let buckets = self.calls_at_end.iter().enumerate().skip(calls as usize);
+        let (mut programs, mut remaining) = (0.0, 0.0);
+        for (total_calls, count) in buckets {
             let more = f64::from(
-                u32::try_from(after)
+                u32::try_from(total_calls)
                     .unwrap_or(u32::MAX)
                     .saturating_sub(calls),
             );
             programs += f64::from(*count);
-            total += f64::from(*count) * more;
+            remaining += f64::from(*count) * more;
         }
         if programs < 1.0 {
             return 1.0;
         }
-        total / programs
+        remaining / programs
     }
 
-    /// Returns the work that a program is expected to need after so many calls.
+    /// Returns the engine time that a program is expected to need after `calls` calls.
     #[must_use]
     pub fn remaining_work(&self, calls: u32) -> Duration {
         self.call_time()
             .mul_f64(self.remaining_calls(calls).max(1.0))
     }
 
-    /// Returns the pause that a program of the class is expected to make.
+    /// Returns the expected pause between two calls of a program.
     #[must_use]
     pub fn pause(&self) -> Duration {
         Duration::from_secs_f64(self.pause_seconds.mean.max(0.0))
     }
 
-    /// Returns how likely a program comes back soon after an answer.
+    /// Returns the probability that a program makes another call soon after a response.
     #[must_use]
     pub fn return_chance(&self) -> f64 {
-        if self.returned.count < FIRST_FEW {
+        if self.returned.count < EARLY_COUNT {
             return 0.7;
         }
         self.returned.mean
     }
 }
 
-/// The histories of all classes.
+/// Histories of all program classes.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClassLearner {
     classes: BTreeMap<ClassName, ClassHistory>,
 }
 
 impl ClassLearner {
-    /// Returns the history of a class.
+    /// Returns the history of a class; it is empty for an unknown class.
     #[must_use]
     pub fn history(&self, class: &str) -> ClassHistory {
         self.classes.get(class).cloned().unwrap_or_default()
@@ -137,19 +139,19 @@
         self.classes.entry(class.clone()).or_default()
     }
 
-    /// Learns from an answer.
+    /// Records the token count and the duration of a response.
     #[expect(
         clippy::cast_precision_loss,
         reason = "token counts are far below 2^52"
     )]
-    pub fn answered(&mut self, class: &ClassName, tokens: TokenCount, time: Duration) {
+    pub fn record_response(&mut self, class: &ClassName, tokens: TokenCount, time: Duration) {
         let history = self.entry(class);
         history.answer_tokens.observe(tokens as f64);
         history.call_seconds.observe(time.as_secs_f64());
     }
 
-    /// Learns from a call that came after a pause.
-    pub fn returned(&mut self, class: &ClassName, pause: Duration) {
+    /// Records the pause before a program's next call.
+    pub fn record_return(&mut self, class: &ClassName, pause: Duration) {
         let history = self.entry(class);
         history
             .pause_seconds
@@ -159,15 +161,15 @@
             .observe(if pause <= RETURN_WINDOW { 1.0 } else { 0.0 });
     }
 
-    /// Learns from the end of a program.
-    pub fn ended(&mut self, class: &ClassName, calls: u32) {
+    /// Records the end of a program after `calls` calls.
+    pub fn record_end(&mut self, class: &ClassName, calls: u32) {
         let history = self.entry(class);
         history.returned.observe(0.0);
         let bucket = (calls as usize).min(CALL_BUCKETS - 1);
-        if history.ended_after.len() <= bucket {
-            history.ended_after.resize(bucket + 1, 0);
+        if history.calls_at_end.len() <= bucket {
+            history.calls_at_end.resize(bucket + 1, 0);
         }
-        history.ended_after[bucket] += 1;
+        history.calls_at_end[bucket] += 1;
     }
 }
 
@@ -176,10 +178,10 @@
     use super::*;
 
     #[test]
-    fn remaining_calls_follow_those_that_came_as_far() {
+    fn remaining_calls_average_over_programs_with_as_many_calls() {
         let mut learner = ClassLearner::default();
         for calls in [1, 1, 1, 9] {
-            learner.ended(&"c".into(), calls);
+            learner.record_end(&"c".into(), calls);
         }
         let history = learner.history("c");
         assert!((history.remaining_calls(0) - 3.0).abs() < 1e-9);
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,8 +1,8 @@
-//! Decisions under load: which waiting call is next, where it runs, what stays cached.
+//! Scheduling decisions: which waiting call runs next, on which upstream, and which prefixes stay cached.
 //!
-//! The decisions are pure functions of a view and a time: [`SchedulingPolicy`] orders and places,
-//! [`Retention`](retain) and [`Admission`](admit) decide about caches and new programs. The
-//! [`CallQueue`] holds the state they look at and is driven by the upstream module.
+//! The decisions depend only on a view of the state and a time: [`SchedulingPolicy`] orders and places calls,
+//! [`Retention`](retain) decides which prefixes engines hold, and [`Admission`](admit) whether a new program starts.
+//! [`CallQueue`] keeps the state that the views are made from; the upstream module drives it.
 
 pub mod admit;
 mod baseline;
--- a/src/scheduler/place.rs
+++ b/src/scheduler/place.rs
@@ -1,4 +1,4 @@
-//! Placement by expected cost: queue, prefill of what is not cached, distance, crowding.
+//! Placement by expected cost: queueing delay, prefill of uncached tokens, distance and cache contention.
 
 use std::time::Duration;
 
@@ -7,45 +7,45 @@
 
 use super::view::{EngineView, JobView, PlacementChoice};
 
-/// Cost of sending a call into another failure domain.
+/// Cost of sending a call to another failure domain, in seconds.
 const DISTANCE_COST: f64 = 0.05;
 
-/// Share by which two costs may differ and still count as equal.
-const EQUAL_SHARE: f64 = 0.1;
+/// Relative difference up to which two costs count as equal.
+const COST_TOLERANCE: f64 = 0.1;
 
-/// Weight of prefill for work whose latency alone counts: what is computed again delays others too.
+/// Weight of prefill time for a job with latency weight 1; above 1 because repeated prefill also delays other calls.
 const PREFILL_WEIGHT: f64 = 2.0;
 
-/// How strongly wasted cache counts beyond that, for work whose latency has no weight.
-const WASTE_FACTOR: f64 = 8.0;
+/// Additional weight of prefill time for a job with latency weight 0, where avoiding wasted cache matters most.
+const WASTE_WEIGHT: f64 = 8.0;
 
-/// What the parts of the cost weigh.
+/// Weights of the parts of the cost.
 #[derive(Clone, Debug)]
 pub struct PlacementWeights {
-    /// Whether cached prefixes count.
+    /// Whether cached prefixes reduce the cost.
     pub cache: bool,
-    /// Whether a call waits here while its best engine is full.
+    /// Whether a call waits in the queue while its cheapest engine is full.
     pub wait: bool,
-    /// Weight of the time for prefilling what is not cached.
+    /// Weight of the time to prefill uncached tokens.
     pub prefill: f64,
 }
 
 impl PlacementWeights {
-    /// Returns the weights for a class.
+    /// Returns the weights for a job, by the latency weight of its class.
     #[must_use]
     pub fn for_job(job: &JobView) -> Self {
         Self {
             cache: true,
             wait: true,
-            prefill: PREFILL_WEIGHT + WASTE_FACTOR * (1.0 - job.latency_weight),
+            prefill: PREFILL_WEIGHT + WASTE_WEIGHT * (1.0 - job.latency_weight),
         }
     }
 }
 
-/// Places a call at the engine of the least expected cost, or lets it wait for that engine.
+/// Places a call on the engine with the lowest expected cost, or returns `Wait` while that engine is full.
 ///
-/// Among engines of about the same cost the choice is random, so that instances with the same
-/// picture do not all send to the same engine.
+/// Of the engines with about the same cost, two are drawn at random and the cheaper one is chosen, so that instances
+/// with the same view do not all send to the same engine.
 #[must_use]
 pub fn place_by_cost(
     job: &JobView,
@@ -57,31 +57,31 @@
         .iter()
         .map(|engine| cost(job, engine, weights))
         .collect();
-    let open = |index: &usize| !weights.wait || engines[*index].has_room();
-    let least = |indices: &mut dyn Iterator<Item = usize>| {
+    let is_open = |index: &usize| !weights.wait || engines[*index].has_room();
+    let cheapest = |indices: &mut dyn Iterator<Item = usize>| {
         indices.min_by(|one, other| costs[*one].total_cmp(&costs[*other]))
     };
-    let Some(best) = least(&mut (0..engines.len())) else {
+    let Some(best) = cheapest(&mut (0..engines.len())) else {
         return PlacementChoice::Wait;
     };
-    if !open(&best) {
+    if !is_open(&best) {
         return PlacementChoice::Wait;
     }
-    let bound = costs[best] * (1.0 + EQUAL_SHARE) + 0.001;
-    let equal: Vec<usize> = (0..engines.len())
-        .filter(open)
+    let bound = costs[best] * (1.0 + COST_TOLERANCE) + 0.001;
+    let cheap: Vec<usize> = (0..engines.len())
+        .filter(is_open)
         .filter(|index| costs[*index] <= bound)
         .collect();
-    if equal.len() < 2 {
+    if cheap.len() < 2 {
         return PlacementChoice::At(best);
     }
-    let first = equal[rng.random_range(0..equal.len())];
-    let second = equal[rng.random_range(0..equal.len())];
-    let lighter = least(&mut [first, second].into_iter());
-    lighter.map_or(PlacementChoice::Wait, PlacementChoice::At)
+    let first = cheap[rng.random_range(0..cheap.len())];
+    let second = cheap[rng.random_range(0..cheap.len())];
+    let cheaper = cheapest(&mut [first, second].into_iter());
+    cheaper.map_or(PlacementChoice::Wait, PlacementChoice::At)
 }
 
-/// Expected time until the answer begins, with what is wasted weighed in, in seconds.
+/// Returns the expected time to the first token in seconds, with weights that account for wasted prefill.
 fn cost(job: &JobView, engine: &EngineView, weights: &PlacementWeights) -> f64 {
     let cached = if weights.cache {
         engine.cached_tokens
@@ -89,13 +89,14 @@
         0
     };
     let missing = job.prompt_tokens.saturating_sub(cached);
-    let prefill = scaled(engine.prefill_time, missing) * weights.prefill;
+    let prefill = scale_seconds(engine.prefill_time, missing) * weights.prefill;
     let distance = if engine.local { 0.0 } else { DISTANCE_COST };
-    engine.queue_delay().as_secs_f64() + prefill + distance + crowding(job, engine, weights)
+    engine.queue_delay().as_secs_f64() + prefill + distance + contention(job, engine, weights)
 }
 
-/// Cost of a new program where the running ones fill the cache already: they will put each other out.
-fn crowding(job: &JobView, engine: &EngineView, weights: &PlacementWeights) -> f64 {
+/// Returns the cost of placing a new program on an engine whose cache is already filled by running programs, since they
+/// will evict each other's prefixes.
+fn contention(job: &JobView, engine: &EngineView, weights: &PlacementWeights) -> f64 {
     if !weights.cache || engine.cache_tokens == 0 || job.calls > 0 && engine.cached_tokens > 0 {
         return 0.0;
     }
@@ -103,14 +104,14 @@
     let excess = after
         .saturating_sub(engine.cache_tokens)
         .min(engine.cache_tokens);
-    scaled(engine.prefill_time, excess) * weights.prefill
+    scale_seconds(engine.prefill_time, excess) * weights.prefill
 }
 
 #[expect(
     clippy::cast_precision_loss,
     reason = "token counts are far below 2^52"
 )]
-fn scaled(time: Duration, tokens: u64) -> f64 {
+fn scale_seconds(time: Duration, tokens: u64) -> f64 {
     time.as_secs_f64() * tokens as f64
 }
 
@@ -154,7 +155,7 @@
     }
 
     #[test]
-    fn cached_prefix_draws_a_call() {
+    fn call_goes_to_the_engine_with_its_cached_prefix() {
         let engines = [engine("a", 0, 0), engine("b", 2, 3900)];
         let mut rng = SmallRng::seed_from_u64(1);
         let weights = PlacementWeights::for_job(&job());
@@ -165,7 +166,7 @@
     }
 
     #[test]
-    fn call_waits_for_its_prefix_only_while_that_pays() {
+    fn call_waits_for_its_cached_prefix_only_while_that_is_cheaper() {
         let mut rng = SmallRng::seed_from_u64(1);
         let weights = PlacementWeights::for_job(&job());
         let full = [engine("a", 0, 0), engine("b", 5, 3900)];
@@ -173,9 +174,9 @@
             place_by_cost(&job(), &full, &weights, &mut rng),
             PlacementChoice::Wait
         );
-        let long = [engine("a", 0, 0), engine("b", 30, 3900)];
+        let overloaded = [engine("a", 0, 0), engine("b", 30, 3900)];
         assert_eq!(
-            place_by_cost(&job(), &long, &weights, &mut rng),
+            place_by_cost(&job(), &overloaded, &weights, &mut rng),
             PlacementChoice::At(0)
         );
     }
--- a/src/scheduler/policy.rs
+++ b/src/scheduler/policy.rs
@@ -1,4 +1,4 @@
-//! The trait of a scheduling policy, and the product's own.
+//! The trait of scheduling policies and the default policy.
 
 use std::time::Duration;
 
@@ -9,15 +9,15 @@
 use super::view::{EngineView, JobView, OrderKey, PlacementChoice};
 use crate::record::{PolicyName, PolicySpec};
 
-/// Waiting time that lifts a call by one band of priority.
+/// Waiting time that raises a call by one priority band.
 const AGEING_STEP: Duration = Duration::from_secs(20);
 
-/// Most bands by which waiting lifts a call.
+/// Maximum number of bands by which waiting raises a call.
 const AGEING_LIMIT: u8 = 2;
 
 /// Orders waiting calls and places them.
 pub trait SchedulingPolicy: Send {
-    /// Returns where the call stands in line.
+    /// Returns the sort key of a waiting call; the smallest key is next.
     fn order(&self, job: &JobView) -> OrderKey;
 
     /// Chooses an engine; `engines` is not empty.
@@ -29,7 +29,7 @@
     ) -> PlacementChoice;
 }
 
-/// Makes the policy that a record names.
+/// Creates the policy that a record names.
 #[must_use]
 pub fn make_policy(spec: &PolicySpec) -> Box<dyn SchedulingPolicy> {
     match spec.policy {
@@ -40,28 +40,29 @@
     }
 }
 
-/// Orders by priority and by the work a program still needs; places by cached prefix and load.
+/// Default policy: orders calls by priority, then by the remaining work and the age of their program, and places
+/// them by cached prefix and load.
 #[derive(Clone, Debug)]
 pub struct ProgramPolicy {
     spec: PolicySpec,
 }
 
 impl ProgramPolicy {
-    /// Makes the policy with the mechanisms that the record leaves on.
+    /// Creates the policy with the mechanisms that the record enables.
     #[must_use]
     pub fn new(spec: PolicySpec) -> Self {
         Self { spec }
     }
 }
 
-/// Band of priority after ageing.
+/// Returns the priority band after ageing.
 fn aged_band(job: &JobView) -> u8 {
     let steps = job.waited.as_secs() / AGEING_STEP.as_secs();
-    let lift = u8::try_from(steps).unwrap_or(u8::MAX).min(AGEING_LIMIT);
-    job.priority.saturating_sub(lift)
+    let raised_bands = u8::try_from(steps).unwrap_or(u8::MAX).min(AGEING_LIMIT);
+    job.priority.saturating_sub(raised_bands)
 }
 
-/// Order of arrival alone.
+/// Returns a key that orders calls by arrival alone.
 pub(super) fn arrival_order(job: &JobView) -> OrderKey {
     OrderKey {
         band: 0,
@@ -75,7 +76,7 @@
         if !self.spec.program_order {
             return arrival_order(job);
         }
-        // The less a program still needs, and the longer it is under way, the earlier it is next.
+        // Programs with less remaining work come first, and so do older programs.
         let score = job.remaining_work.as_secs_f64() - job.age.as_secs_f64();
         OrderKey {
             band: aged_band(job),
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -1,4 +1,4 @@
-//! The waiting calls of an instance with all that decisions about them look at.
+//! The queue of an instance's waiting calls, with the state that scheduling decisions use.
 
 mod state;
 mod upstreams;
@@ -26,17 +26,17 @@
 use crate::record::{ConfigView, PolicySpec, UpstreamSpec};
 use crate::shard::DispatchJob;
 
-/// Age up to which a report is news for others.
-const NEWS_AGE: Duration = Duration::from_millis(750);
+/// Age up to which a report is shared with other instances.
+const SHARED_REPORT_AGE: Duration = Duration::from_millis(750);
 
-/// Upstreams with own calls that are told of in one probe.
+/// Maximum number of upstreams with own calls that one probe lists.
 const SHARE_LIMIT: usize = 64;
 
-/// Reports told in one round of news.
+/// Maximum number of load reports in one message to other instances.
 const REPORT_LIMIT: usize = 48;
 
-/// Waiting calls looked at in one pass.
-const PASS_LIMIT: usize = 128;
+/// Maximum number of waiting calls that one pass tries to place.
+const PLACEMENT_LIMIT: usize = 128;
 
 /// A call with the upstream chosen for it.
 #[derive(Debug)]
@@ -45,9 +45,9 @@
     pub job: DispatchJob,
     /// The upstream.
     pub upstream: UpstreamName,
-    /// Its record.
+    /// The record of the upstream.
     pub spec: Arc<UpstreamSpec>,
-    /// Priority for the engine.
+    /// Priority that is sent to the engine.
     pub priority: u8,
 }
 
@@ -55,11 +55,11 @@
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct QueueDump {
-    /// Calls waiting.
+    /// Number of waiting calls.
     pub waiting: usize,
-    /// Upstreams as seen from here.
+    /// Upstreams as this instance sees them.
     pub upstreams: Vec<UpstreamDump>,
-    /// What was learned of the classes.
+    /// Statistics of the program classes.
     pub classes: ClassLearner,
 }
 
@@ -69,17 +69,17 @@
 pub struct UpstreamDump {
     /// The upstream.
     pub name: UpstreamName,
-    /// Own calls under way there.
+    /// This instance's calls in flight at the upstream.
     pub in_flight: u32,
-    /// All calls estimated there.
+    /// Estimated calls of all instances at the upstream.
     pub estimated: u32,
-    /// Slots reported.
+    /// Slots that the upstream reported, or the default without a report.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether the upstream is leaving.
     pub leaving: bool,
-    /// Whether its circuit breaker is open.
+    /// Whether the upstream's circuit breaker is open.
     pub breaker_open: bool,
-    /// Tokens of the own running programs there.
+    /// Cached tokens of this instance's running programs at the upstream.
     pub resident_tokens: TokenCount,
 }
 
@@ -96,7 +96,7 @@
 }
 
 impl CallQueue {
-    /// Makes an empty queue of an instance in the failure domain, with a seed for its choices.
+    /// Creates an empty queue for an instance in the failure domain; `seed` seeds its random choices.
     #[must_use]
     pub fn new(domain: DomainId, seed: u64) -> Self {
         let spec = PolicySpec::default();
@@ -120,13 +120,13 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Puts a call in line; `avoid` names an upstream that has just failed it.
+    /// Enqueues a call; `avoid` names an upstream on which it has just failed.
     pub fn push(&self, job: DispatchJob, config: &ConfigView, avoid: Option<UpstreamName>) {
         let mut state = self.state();
         state.arrivals += 1;
         let arrival = state.arrivals;
         if avoid.is_none() && job.intent.sequence > 1 && !job.redispatch {
-            state.learner.returned(&job.class, job.pause);
+            state.learner.record_return(&job.class, job.pause);
         }
         let view = state.job_view(&job, config, arrival);
         state.waiting.push(WaitingJob {
@@ -138,43 +138,43 @@
         });
     }
 
-    /// Returns whether no call waits.
+    /// Returns whether no call is waiting.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.state().waiting.is_empty()
     }
 
-    /// Takes out the calls whose wait has ended: cancelled ones and those past their deadline.
+    /// Removes and returns the calls that are cancelled or past their deadline.
     pub fn take_expired(&self, now: SystemTime) -> Vec<DispatchJob> {
         let mut state = self.state();
-        let over = |waiting: &mut WaitingJob| {
+        let is_over = |waiting: &mut WaitingJob| {
             waiting.job.cancel.is_cancelled() || now >= waiting.job.deadline
         };
         state
             .waiting
-            .extract_if(.., over)
+            .extract_if(.., is_over)
             .map(|waiting| waiting.job)
             .collect()
     }
 
-    /// Takes out the calls that can go now, each with its upstream.
+    /// Removes and returns the calls that can be sent now, each with its upstream.
     pub fn choose(&self, config: &ConfigView, now: Instant) -> Vec<ChosenJob> {
         let mut state = self.state();
         if state.spec != *config.policy() {
             state.spec = config.policy().clone();
             state.policy = make_policy(&state.spec);
         }
-        let order = state.line(now);
+        let order = state.ordered_jobs(now);
         let mut chosen = Vec::new();
         let mut taken = Vec::new();
-        for index in order.into_iter().take(PASS_LIMIT) {
+        for index in order.into_iter().take(PLACEMENT_LIMIT) {
             let Some((upstream, spec)) = state.place(index, config, &self.domain, now) else {
                 continue;
             };
             let entry = state.upstreams.entry(upstream.clone()).or_default();
             entry.in_flight += 1;
             entry.sent_since_report += 1;
-            entry.breaker.sent(now);
+            entry.breaker.record_request(now);
             taken.push(index);
             chosen.push((index, upstream, spec));
         }
@@ -198,8 +198,8 @@
         result
     }
 
-    /// Notes the end of a call at an engine.
-    pub fn answered(
+    /// Records the response of an engine to a call.
+    pub fn record_response(
         &self,
         job: &DispatchJob,
         upstream: &UpstreamName,
@@ -211,37 +211,38 @@
         let mut state = self.state();
         state
             .learner
-            .answered(&job.class, usage.completion_tokens, total);
+            .record_response(&job.class, usage.completion_tokens, total);
         let entry = state.upstreams.entry(upstream.clone()).or_default();
         entry.in_flight = entry.in_flight.saturating_sub(1);
-        entry.breaker.succeeded();
-        entry.note_answer(usage, first_token, total, now);
-        entry.note_prefix(prefix_hash(job), prefix_tokens(job));
-        let mark = entry.inserted;
+        entry.breaker.record_success();
+        entry.record_response(usage, first_token, total, now);
+        entry.record_prefix(prefix_hash(job), prefix_tokens(job));
+        let inserted_mark = entry.inserted_tokens;
         let cache = ProgramCache {
             engine: upstream.clone(),
             tokens: usage.prompt_tokens + usage.completion_tokens,
-            mark,
+            inserted_mark,
             held: false,
         };
-        state.place_program(&job.intent.program, Some(cache));
+        state.set_program_cache(&job.intent.program, Some(cache));
     }
 
-    /// Notes a call to a service that has ended, or a call that an upstream has failed.
-    pub fn ended(&self, upstream: &UpstreamName, failed: bool) {
+    /// Records the end of a call without an engine response: a call to a service, or one that was refused, cancelled or
+    /// failed. Unless `failed` is set, the circuit breaker counts it as a success.
+    pub fn record_end(&self, upstream: &UpstreamName, failed: bool) {
         let now = Instant::now();
         let mut state = self.state();
         let entry = state.upstreams.entry(upstream.clone()).or_default();
         entry.in_flight = entry.in_flight.saturating_sub(1);
         if failed {
-            entry.breaker.failed(now);
+            entry.breaker.record_failure(now);
         } else {
-            entry.breaker.succeeded();
+            entry.breaker.record_success();
         }
     }
 
-    /// Takes an upstream's report.
-    pub fn take_report(&self, upstream: &UpstreamName, report: LoadReport, at: Instant) {
+    /// Stores an upstream's load report, unless a newer one is known.
+    pub fn record_report(&self, upstream: &UpstreamName, report: LoadReport, at: Instant) {
         let mut state = self.state();
         let entry = state.upstreams.entry(upstream.clone()).or_default();
         if entry.report.as_ref().is_some_and(|(_, known)| *known >= at) {
@@ -251,8 +252,8 @@
         entry.sent_since_report = 0;
     }
 
-    /// Takes what another instance has under way; it has nothing at upstreams that it does not name.
-    pub fn take_shares(&self, from: &InstanceName, shares: &[UpstreamShare], now: Instant) {
+    /// Stores another instance's calls in flight; it has none at the upstreams that `shares` does not name.
+    pub fn record_peer_shares(&self, from: &InstanceName, shares: &[UpstreamShare], now: Instant) {
         let mut state = self.state();
         for (name, entry) in &mut state.upstreams {
             let tag = upstream_tag(name);
@@ -268,33 +269,33 @@
         }
     }
 
-    /// Takes reports that another instance has read or heard of.
-    pub fn take_report_news(&self, reports: &[ReportNews], now: Instant) {
+    /// Stores the load reports that another instance has read itself or received from others.
+    pub fn record_peer_reports(&self, reports: &[ReportNews], now: Instant) {
         for news in reports {
             let at = now.checked_sub(news.age).unwrap_or(now);
-            self.take_report(&news.upstream, news.report.clone(), at);
+            self.record_report(&news.upstream, news.report.clone(), at);
         }
     }
 
-    /// Composes what this instance has under way.
+    /// Returns this instance's calls in flight and cached tokens by upstream, for other instances.
     #[must_use]
     pub fn shares(&self) -> Vec<UpstreamShare> {
         let state = self.state();
         let busy = state
             .upstreams
             .iter()
-            .filter(|(_, entry)| entry.in_flight > 0 || entry.resident > 0);
+            .filter(|(_, entry)| entry.in_flight > 0 || entry.resident_tokens > 0);
         let shares = busy.map(|(name, entry)| UpstreamShare {
             upstream: upstream_tag(name),
             in_flight: entry.in_flight,
-            resident_tokens: entry.resident,
+            resident_tokens: entry.resident_tokens,
         });
         shares.take(SHARE_LIMIT).collect()
     }
 
-    /// Composes the reports of the own failure domain that are news.
+    /// Returns the recent load reports of upstreams in this instance's failure domain, for other instances.
     #[must_use]
-    pub fn report_news(&self, config: &ConfigView) -> Vec<ReportNews> {
+    pub fn recent_reports(&self, config: &ConfigView) -> Vec<ReportNews> {
         let now = Instant::now();
         let state = self.state();
         let local = |name: &UpstreamName| {
@@ -305,7 +306,7 @@
         let news = state.upstreams.iter().filter_map(|(name, entry)| {
             let (report, at) = entry.report.as_ref()?;
             let age = now.duration_since(*at);
-            (age < NEWS_AGE && local(name)).then(|| ReportNews {
+            (age < SHARED_REPORT_AGE && local(name)).then(|| ReportNews {
                 upstream: name.clone(),
                 report: report.clone(),
                 age,
@@ -314,23 +315,23 @@
         news.take(REPORT_LIMIT).collect()
     }
 
-    /// Takes an engine's word on how much of a program's prefix it has cached.
-    pub fn take_cache_event(&self, upstream: &UpstreamName, program: &ProgramId, tokens: u64) {
+    /// Records how much of a program's prefix an engine reports as cached.
+    pub fn record_cache_event(&self, upstream: &UpstreamName, program: &ProgramId, tokens: u64) {
         let mut state = self.state();
-        let mark = state
+        let inserted_mark = state
             .upstreams
             .get(upstream)
-            .map_or(0, |entry| entry.inserted);
+            .map_or(0, |entry| entry.inserted_tokens);
         if let Some(cache) = state.programs.get_mut(program)
             && cache.engine == *upstream
             && tokens > cache.tokens
         {
             cache.tokens = tokens;
-            cache.mark = mark;
+            cache.inserted_mark = inserted_mark;
         }
     }
 
-    /// Refuses the begin of a program that could not be served in time.
+    /// Returns a refusal for a new program that can't be served in time.
     pub fn admit(
         &self,
         class: &ClassName,
@@ -351,7 +352,7 @@
         let work: Duration = ahead
             .map(|waiting| state.learner.history(&waiting.job.class).call_time())
             .sum();
-        let slots = state.own_slots(now);
+        let slots = state.expected_slots(now);
         let view = AdmissionView {
             priority: spec.priority,
             expected_wait: work.div_f64(slots.max(1.0)),
@@ -361,7 +362,7 @@
         refuse_begin(&view)
     }
 
-    /// Decides whether an engine keeps the prefix of a program that pauses.
+    /// Decides whether an engine should hold the prefix of a program that pauses.
     pub fn should_hold(
         &self,
         class: &ClassName,
@@ -386,32 +387,32 @@
         should_hold(&state.learner.history(class), cache, tokens)
     }
 
-    /// Notes whether an engine holds a program's prefix.
-    pub fn note_hold(&self, program: &ProgramId, held: bool) {
+    /// Records whether an engine holds a program's prefix.
+    pub fn record_hold(&self, program: &ProgramId, held: bool) {
         if let Some(cache) = self.state().programs.get_mut(program) {
             cache.held = held;
         }
     }
 
-    /// Forgets the programs of a shard that has another primary now.
+    /// Drops the cache locations of the programs of a shard whose primary is now another instance.
     pub fn forget_shard(&self, shard: &ShardId) {
         let mut state = self.state();
         let of_shard =
             |program: &&ProgramId| ShardId::of_program(program).is_ok_and(|other| other == *shard);
         let programs: Vec<ProgramId> = state.programs.keys().filter(of_shard).cloned().collect();
         for program in programs {
-            state.place_program(&program, None);
+            state.set_program_cache(&program, None);
         }
     }
 
-    /// Learns from the end of a program and forgets where its prefix is cached.
+    /// Records the end of a program and drops its cache location.
     pub fn program_ended(&self, program: &ProgramId, class: &ClassName, calls: u32) {
         let mut state = self.state();
-        state.learner.ended(class, calls);
-        state.place_program(program, None);
+        state.learner.record_end(class, calls);
+        state.set_program_cache(program, None);
     }
 
-    /// Returns whether an engine has reported lately.
+    /// Returns whether a recent report of the engine is known.
     #[must_use]
     pub fn has_report(&self, upstream: &str) -> bool {
         let state = self.state();
@@ -419,7 +420,7 @@
         entry.is_some_and(|entry| entry.fresh_report(Instant::now()).is_some())
     }
 
-    /// Returns whether an engine has reported that the model is loaded.
+    /// Returns whether a recent report of the engine lists the model as loaded.
     #[must_use]
     pub fn has_model(&self, upstream: &str, model: &str) -> bool {
         let state = self.state();
@@ -427,7 +428,7 @@
         entry.is_some_and(|entry| entry.lacks_model(model, Instant::now()) == Some(false))
     }
 
-    /// Returns the state for a dump.
+    /// Returns the state of the queue for a dump.
     #[must_use]
     pub fn dump(&self) -> QueueDump {
         let now = Instant::now();
@@ -445,7 +446,7 @@
                     .as_ref()
                     .is_some_and(|(report, _)| report.leaving),
                 breaker_open: !entry.breaker.allows(now),
-                resident_tokens: entry.resident,
+                resident_tokens: entry.resident_tokens,
             })
             .collect();
         upstreams.sort_by(|one, other| one.name.cmp(&other.name));
--- a/src/scheduler/queue/state.rs
+++ b/src/scheduler/queue/state.rs
@@ -1,4 +1,4 @@
-//! The calls in line, what is known of programs and upstreams, and the decisions on them.
+//! State of the queue: waiting calls, the known state of programs and upstreams, and the placement of calls.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -17,29 +17,31 @@
 use crate::scheduler::view::{EngineView, JobView, OrderKey, PlacementChoice};
 use crate::shard::DispatchJob;
 
-/// Requests beyond its slots that an engine is given, so that a freed slot is filled at once.
-const SLOT_MARGIN: f64 = 0.25;
+/// Share of its slots by which an engine is sent more requests, so that a freed slot is filled immediately.
+const SLOT_MARGIN_SHARE: f64 = 0.25;
 
-/// A call in line.
+/// A waiting call.
 #[derive(Debug)]
 pub(super) struct WaitingJob {
     pub job: DispatchJob,
     pub view: JobView,
+    /// Result of `prefix_hash`.
     pub prefix: u64,
     pub queued: Instant,
     pub avoid: Option<UpstreamName>,
 }
 
-/// Where a program's prefix is cached, as far as is known.
+/// Where a program's prefix is probably cached.
 #[derive(Debug)]
 pub(super) struct ProgramCache {
     pub engine: UpstreamName,
     pub tokens: TokenCount,
-    pub mark: TokenCount,
+    /// The engine's `inserted_tokens` when the prefix was cached.
+    pub inserted_mark: TokenCount,
     pub held: bool,
 }
 
-/// Everything that decisions look at.
+/// The state that scheduling decisions use.
 pub(super) struct QueueState {
     pub waiting: Vec<WaitingJob>,
     pub upstreams: HashMap<UpstreamName, UpstreamState>,
@@ -77,23 +79,23 @@
         }
     }
 
-    /// Returns the waiting calls in the order in which they are next.
-    pub fn line(&mut self, now: Instant) -> Vec<usize> {
+    /// Returns the indices of the waiting calls, the next one first.
+    pub fn ordered_jobs(&mut self, now: Instant) -> Vec<usize> {
         for waiting in &mut self.waiting {
             waiting.view.waited = now.duration_since(waiting.queued);
         }
-        let mut keyed: Vec<(OrderKey, usize)> = self
+        let mut keys: Vec<(OrderKey, usize)> = self
             .waiting
             .iter()
             .enumerate()
             .map(|(index, waiting)| (self.policy.order(&waiting.view), index))
             .collect();
-        keyed.sort_by(|one, other| {
+        keys.sort_by(|one, other| {
             one.0
                 .partial_cmp(&other.0)
                 .unwrap_or(std::cmp::Ordering::Equal)
         });
-        keyed.into_iter().map(|(_, index)| index).collect()
+        keys.into_iter().map(|(_, index)| index).collect()
     }
 
     pub fn place(
@@ -112,7 +114,7 @@
         }
     }
 
-    fn usable(&self, name: &str, spec: &UpstreamSpec, now: Instant) -> bool {
+    fn is_usable(&self, name: &str, spec: &UpstreamSpec, now: Instant) -> bool {
         let entry = self.upstreams.get(name);
         let leaving = entry
             .and_then(|entry| entry.report.as_ref())
@@ -132,7 +134,7 @@
         config
             .upstreams()
             .filter(|(_, spec)| spec.kind == UpstreamKind::Service && spec.service == *service)
-            .filter(|(name, spec)| self.usable(name, spec, now))
+            .filter(|(name, spec)| self.is_usable(name, spec, now))
             .map(|(name, spec)| {
                 let in_flight = self
                     .upstreams
@@ -163,7 +165,7 @@
         let candidates: Vec<(UpstreamName, Arc<UpstreamSpec>)> = config
             .upstreams()
             .filter(|(_, spec)| spec.kind == UpstreamKind::Engine && spec.models.contains(&model))
-            .filter(|(name, spec)| self.usable(name, spec, now))
+            .filter(|(name, spec)| self.is_usable(name, spec, now))
             .filter(|(name, _)| {
                 let entry = self.upstreams.get(*name);
                 entry.and_then(|entry| entry.lacks_model(&model, now)) != Some(true)
@@ -205,8 +207,8 @@
         let unknown = UpstreamState::default();
         let entry = self.upstreams.get(name).unwrap_or(&unknown);
         let slots = entry.slots(now);
-        let margin = (f64::from(slots) * SLOT_MARGIN).ceil();
-        let open = entry.breaker.share(now);
+        let margin = (f64::from(slots) * SLOT_MARGIN_SHARE).ceil();
+        let breaker_share = entry.breaker.share(now);
         let peers: TokenCount = entry
             .peer_shares(now)
             .map(|share| share.resident_tokens)
@@ -216,7 +218,7 @@
             clippy::cast_sign_loss,
             reason = "a small positive number"
         )]
-        let limit = ((f64::from(slots) + margin) * open).ceil() as u32;
+        let limit = ((f64::from(slots) + margin) * breaker_share).ceil() as u32;
         EngineView {
             name: name.clone(),
             local: spec.failure_domain == *domain,
@@ -224,7 +226,7 @@
             in_flight: entry.total_in_flight(now),
             limit: limit.min(spec.concurrency),
             cached_tokens: self.cached_tokens(name, entry, waiting, now),
-            resident_tokens: entry.resident + peers,
+            resident_tokens: entry.resident_tokens + peers,
             cache_tokens: entry.cache_tokens(now),
             prefill_time: entry.prefill_time,
             token_time: entry.token_time,
@@ -244,8 +246,8 @@
         let shared = shared.map_or(0, |(tokens, _)| *tokens);
         let own = match self.programs.get(&waiting.view.program) {
             Some(cache) if cache.engine == *name => {
-                let present = cache.held || !entry.is_stale(cache.mark, now);
-                if present { cache.tokens } else { 0 }
+                let is_cached = cache.held || !entry.is_stale(cache.inserted_mark, now);
+                if is_cached { cache.tokens } else { 0 }
             }
             None if waiting.job.holding_upstream.as_ref() == Some(name) => {
                 waiting.view.prompt_tokens
@@ -255,21 +257,21 @@
         own.max(shared).min(waiting.view.prompt_tokens)
     }
 
-    pub fn place_program(&mut self, program: &ProgramId, cache: Option<ProgramCache>) {
+    pub fn set_program_cache(&mut self, program: &ProgramId, cache: Option<ProgramCache>) {
         if let Some(old) = self.programs.remove(program)
             && let Some(entry) = self.upstreams.get_mut(&old.engine)
         {
-            entry.resident = entry.resident.saturating_sub(old.tokens);
+            entry.resident_tokens = entry.resident_tokens.saturating_sub(old.tokens);
         }
         let Some(cache) = cache else { return };
         if let Some(entry) = self.upstreams.get_mut(&cache.engine) {
-            entry.resident += cache.tokens;
+            entry.resident_tokens += cache.tokens;
         }
         self.programs.insert(program.clone(), cache);
     }
 
-    /// Estimates the slots that this instance gets of all engines.
-    pub fn own_slots(&self, now: Instant) -> f64 {
+    /// Estimates how many slots of all engines are available to this instance, in proportion to its calls in flight.
+    pub fn expected_slots(&self, now: Instant) -> f64 {
         let engines = self.upstreams.values().filter(|entry| {
             entry
                 .fresh_report(now)
@@ -284,7 +286,7 @@
     }
 }
 
-/// Returns the model that a call asks for, or that its class names.
+/// Returns the model that a call requests, or else the one that its class names.
 #[must_use]
 pub fn wanted_model(spec: &CallSpec, class: &str, config: &ConfigView) -> Option<SmolStr> {
     let CallSpec::Model(call) = spec else {
@@ -301,7 +303,7 @@
     Some(&first.content)
 }
 
-/// Hash of the first message of a model call, which programs of a class often share; else 0.
+/// Returns the hash of the first message of a model call, which programs of a class often share, or 0 for other calls.
 pub(super) fn prefix_hash(job: &DispatchJob) -> u64 {
     let Some(first) = first_message(job) else {
         return 0;
@@ -319,7 +321,7 @@
     let history: TokenCount = job
         .history
         .iter()
-        .map(|one| text_tokens(&one.content))
+        .map(|message| text_tokens(&message.content))
         .sum();
     history + job.intent.spec.prompt_tokens()
 }
--- a/src/scheduler/retain.rs
+++ b/src/scheduler/retain.rs
@@ -1,29 +1,29 @@
-//! Whether an engine keeps a program's prefix while the program pauses.
+//! Cache retention: decides whether an engine holds a program's prefix while the program pauses.
 
 use crate::ids::TokenCount;
 use crate::scheduler::learn::ClassHistory;
 
-/// Share of a cache that may be held.
-const HELD_SHARE: f64 = 0.5;
+/// Maximum share of a cache that may be held.
+const MAX_HELD_SHARE: f64 = 0.5;
 
-/// Share of a cache in use below which nothing is put out, so that nothing has to be held.
-const PRESSURE_SHARE: f64 = 0.7;
+/// Share of a cache in use below which the engine evicts nothing, so that no prefix has to be held.
+const EVICTION_SHARE: f64 = 0.7;
 
-/// Chance of a soon return from which on holding pays.
-const RETURN_CHANCE: f64 = 0.4;
+/// Minimum probability of a call within the return window for which holding a prefix is worthwhile.
+const MIN_RETURN_CHANCE: f64 = 0.4;
 
-/// Cache of an engine as its last report tells.
+/// Cache state of an engine as of its last report.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CacheState {
-    /// Tokens the cache can hold.
+    /// Capacity of the cache in tokens.
     pub cache_tokens: TokenCount,
     /// Tokens in use.
     pub used_tokens: TokenCount,
-    /// Tokens held.
+    /// Tokens of held prefixes.
     pub held_tokens: TokenCount,
 }
 
-/// Decides whether to hold a prefix of so many tokens.
+/// Decides whether to hold a prefix of `tokens` tokens.
 #[must_use]
 #[expect(
     clippy::cast_precision_loss,
@@ -33,8 +33,8 @@
     if cache.cache_tokens == 0 {
         return false;
     }
-    let size = cache.cache_tokens as f64;
-    let pressed = cache.used_tokens as f64 >= size * PRESSURE_SHARE;
-    let fits = (cache.held_tokens + tokens) as f64 <= size * HELD_SHARE;
-    pressed && fits && history.return_chance() >= RETURN_CHANCE
+    let capacity = cache.cache_tokens as f64;
+    let is_under_pressure = cache.used_tokens as f64 >= capacity * EVICTION_SHARE;
+    let fits = (cache.held_tokens + tokens) as f64 <= capacity * MAX_HELD_SHARE;
+    is_under_pressure && fits && history.return_chance() >= MIN_RETURN_CHANCE
 }
--- a/src/scheduler/view.rs
+++ b/src/scheduler/view.rs
@@ -1,35 +1,35 @@
-//! What the decisions look at.
+//! Views of calls and engines: the inputs and results of scheduling decisions.
 
 use std::time::Duration;
 
 use crate::ids::{ProgramId, TokenCount, UpstreamName};
 
-/// A waiting call.
+/// A waiting call as a decision sees it.
 #[derive(Clone, Debug)]
 pub struct JobView {
     /// The program.
     pub program: ProgramId,
     /// Order of arrival at this instance.
     pub arrival: u64,
-    /// From 0, which runs first, to 9.
+    /// Priority of the class, from 0 (first) to 9.
     pub priority: u8,
-    /// Weight of program latency against wasted cache, from 0 to 1.
+    /// Weight of program latency, from 0 to 1; the lower it is, the more wasted cache counts.
     pub latency_weight: f64,
     /// Time the call has waited.
     pub waited: Duration,
-    /// Time since the program began.
+    /// Time since the program started.
     pub age: Duration,
     /// Time left until the program's deadline.
     pub time_left: Duration,
     /// Calls of the program before this one.
     pub calls: u32,
-    /// Tokens of the whole prompt.
+    /// Tokens of the entire prompt.
     pub prompt_tokens: TokenCount,
-    /// Tokens the answer is expected to have.
+    /// Expected number of tokens in the response.
     pub answer_tokens: TokenCount,
-    /// Work that the program is expected to need still, this call included.
+    /// Engine time that the program is expected to need from now on, including this call.
     pub remaining_work: Duration,
-    /// Engine that has the program's prefix cached, as far as is known.
+    /// Home engine: the one that has the program's prefix cached, if known.
     pub home: Option<UpstreamName>,
 }
 
@@ -38,30 +38,30 @@
 pub struct EngineView {
     /// The engine.
     pub name: UpstreamName,
-    /// Whether it stands in this instance's failure domain.
+    /// Whether the engine is in this instance's failure domain.
     pub local: bool,
-    /// Requests that can run at once.
+    /// Requests that the engine can run concurrently.
     pub slots: u32,
-    /// Requests that are there by now, by its last report and what is known since.
+    /// Estimated requests at the engine, by its last report and by the calls that instances have in flight.
     pub in_flight: u32,
-    /// Most requests to send at once.
+    /// Maximum number of requests to have in flight at the engine.
     pub limit: u32,
-    /// Tokens of the job's prompt that are probably cached there.
+    /// Tokens of the job's prompt that the engine has probably cached.
     pub cached_tokens: TokenCount,
-    /// Tokens of running programs that live there.
+    /// Tokens of running programs whose prefixes are cached on the engine.
     pub resident_tokens: TokenCount,
-    /// Tokens the cache can hold.
+    /// Capacity of the cache in tokens.
     pub cache_tokens: TokenCount,
-    /// Time for prefilling one token.
+    /// Time to prefill one token.
     pub prefill_time: Duration,
-    /// Time for generating one token.
+    /// Time to generate one token.
     pub token_time: Duration,
-    /// Mean time of a call there.
+    /// Mean duration of a call on the engine.
     pub call_time: Duration,
 }
 
 impl EngineView {
-    /// Returns whether another request may be sent there.
+    /// Returns whether another request may be sent to the engine.
     #[must_use]
     pub fn has_room(&self) -> bool {
         self.in_flight < self.limit
@@ -75,22 +75,22 @@
     }
 }
 
-/// Where waiting calls stand in line; the smallest is next.
+/// Sort key of a waiting call; the smallest key is next.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct OrderKey {
-    /// Band of priority after ageing.
+    /// Priority band after ageing.
     pub band: u8,
-    /// Place within the band.
+    /// Rank within the band; lower is earlier.
     pub score: f64,
     /// Order of arrival.
     pub arrival: u64,
 }
 
-/// Where a call goes.
+/// Placement of a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PlacementChoice {
-    /// To the engine of this index.
+    /// Send the call to the engine at this index.
     At(usize),
-    /// Nowhere yet.
+    /// Keep the call in the queue.
     Wait,
 }
--- a/src/upstream/breaker.rs
+++ b/src/upstream/breaker.rs
@@ -1,23 +1,23 @@
-//! Circuit breaking and slow start of one upstream.
+//! Circuit breaker and slow start of one upstream.
 
 use std::time::{Duration, Instant};
 
-/// Failures in a row that open the circuit.
+/// Consecutive failures that open the circuit.
 const FAILURE_LIMIT: u32 = 3;
 
-/// First time for which an open circuit stays open; it doubles up to the longest.
+/// Initial and maximum time for which the circuit stays open; it doubles with each failure while the circuit is open.
 const OPEN_TIMES: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(8));
 
-/// Time over which an upstream gets its full share again after failures.
+/// Time after the circuit closes over which the upstream's share rises to the full limit.
 const SLOW_START: Duration = Duration::from_secs(4);
 
-/// Share of its limit that a returning upstream gets at first.
-const FIRST_SHARE: f64 = 0.2;
+/// Share of its limit that an upstream gets right after the circuit closes.
+const INITIAL_SHARE: f64 = 0.2;
 
-/// Time after which a trial without an answer allows another one.
-const TRIAL_TIME: Duration = Duration::from_secs(2);
+/// Time after which a trial request without a response allows another one.
+const TRIAL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Circuit breaker of one upstream.
+/// Circuit breaker of one upstream: opens after repeated failures and closes when a trial request succeeds.
 #[derive(Clone, Debug)]
 pub struct CircuitBreaker {
     failures: u32,
@@ -40,37 +40,37 @@
 }
 
 impl CircuitBreaker {
-    /// Returns whether a request may be sent.
+    /// Returns whether a request may be sent to the upstream.
     #[must_use]
     pub fn allows(&self, now: Instant) -> bool {
         let Some(until) = self.open_until else {
             return true;
         };
-        let tried = self
+        let is_trial_pending = self
             .trial
-            .is_some_and(|at| now.duration_since(at) < TRIAL_TIME);
-        now >= until && !tried
+            .is_some_and(|at| now.duration_since(at) < TRIAL_TIMEOUT);
+        now >= until && !is_trial_pending
     }
 
-    /// Returns the share of its limit that the upstream gets, from above 0 to 1.
+    /// Returns the share of its request limit that the upstream gets: above 0, at most 1.
     #[must_use]
     pub fn share(&self, now: Instant) -> f64 {
         let Some(closed_at) = self.closed_at else {
             return 1.0;
         };
-        let part = now.duration_since(closed_at).as_secs_f64() / SLOW_START.as_secs_f64();
-        (FIRST_SHARE + (1.0 - FIRST_SHARE) * part).min(1.0)
+        let progress = now.duration_since(closed_at).as_secs_f64() / SLOW_START.as_secs_f64();
+        (INITIAL_SHARE + (1.0 - INITIAL_SHARE) * progress).min(1.0)
     }
 
-    /// Notes a request; while the circuit is open it is the one trial.
-    pub fn sent(&mut self, now: Instant) {
+    /// Records a sent request; while the circuit is open, it is the only trial request.
+    pub fn record_request(&mut self, now: Instant) {
         if self.open_until.is_some() {
             self.trial = Some(now);
         }
     }
 
-    /// Notes an answer.
-    pub fn succeeded(&mut self) {
+    /// Records a success: closes the circuit and resets the failure count.
+    pub fn record_success(&mut self) {
         if self.open_until.take().is_some() {
             self.closed_at = Some(Instant::now());
             self.trial = None;
@@ -79,8 +79,8 @@
         self.failures = 0;
     }
 
-    /// Notes a failure.
-    pub fn failed(&mut self, now: Instant) {
+    /// Records a failure, which may open the circuit or keep it open for longer.
+    pub fn record_failure(&mut self, now: Instant) {
         self.failures += 1;
         let was_open = self.open_until.is_some();
         if self.failures < FAILURE_LIMIT && !was_open {
@@ -97,19 +97,19 @@
     use super::*;
 
     #[test]
-    fn circuit_opens_tries_once_and_closes() {
+    fn open_circuit_allows_one_trial_and_closes_on_success() {
         let start = Instant::now();
         let mut breaker = CircuitBreaker::default();
         for _ in 0..FAILURE_LIMIT {
             assert!(breaker.allows(start));
-            breaker.failed(start);
+            breaker.record_failure(start);
         }
         assert!(!breaker.allows(start));
         let later = start + OPEN_TIMES.0;
         assert!(breaker.allows(later));
-        breaker.sent(later);
+        breaker.record_request(later);
         assert!(!breaker.allows(later));
-        breaker.succeeded();
+        breaker.record_success();
         assert!(breaker.allows(later));
         assert!(breaker.share(Instant::now()) < 1.0);
     }
--- a/src/upstream/engine.rs
+++ b/src/upstream/engine.rs
@@ -1,4 +1,4 @@
-//! Calls to model engines by OpenAI-style HTTP with server-sent events.
+//! Calls to model engines over an OpenAI-style HTTP API with server-sent events.
 
 use std::time::{Duration, Instant};
 
@@ -50,30 +50,31 @@
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-struct AnswerChunk {
+struct ResponseChunk {
     choices: Vec<ChunkChoice>,
     usage: Option<ChunkUsage>,
 }
 
-/// A whole answer of an engine.
+/// A complete response of an engine.
 #[derive(Clone, Debug)]
-pub struct EngineAnswer {
-    /// The text.
+pub struct EngineResponse {
+    /// Generated text.
     pub text: String,
-    /// Tokens taken.
+    /// Tokens used.
     pub usage: TokenUsage,
-    /// Time until the first text.
+    /// Time from sending the request to the first text.
     pub first_token: Duration,
-    /// Time until the end.
+    /// Time from sending the request to the end of the response.
     pub total: Duration,
 }
 
-/// Why an engine gave no answer.
+/// Reason why an engine returned no complete response.
 #[derive(Clone, Debug)]
 pub enum EngineFailure {
-    /// It could not be reached or broke off; another may serve the call.
+    /// The engine could not be reached, returned an error or sent an invalid or incomplete response; another engine may
+    /// serve the call.
     Failed(SmolStr),
-    /// It refuses the call itself.
+    /// The engine rejected the call as invalid, with this HTTP status; another engine would do the same.
     Rejected(u16, SmolStr),
 }
 
@@ -83,18 +84,18 @@
     }
 }
 
-/// Sends a call to an engine and passes the text on as it comes.
+/// Sends a call to an engine and forwards the text to the call's stream as it arrives.
 ///
 /// # Errors
 ///
-/// Returns [`EngineFailure`]; a call of a model may always be sent again.
+/// Returns [`EngineFailure`]; model calls are idempotent, so they may always be sent again.
 pub async fn complete(
     pool: &HttpPool,
     spec: &UpstreamSpec,
     model: &str,
     priority: u8,
     job: &DispatchJob,
-) -> Result<EngineAnswer, EngineFailure> {
+) -> Result<EngineResponse, EngineFailure> {
     let CallSpec::Model(call) = &job.intent.spec else {
         return Err(EngineFailure::Rejected(400, "not a call of a model".into()));
     };
@@ -115,12 +116,12 @@
     let started = Instant::now();
     let mut response = pool.send(request).await?;
     if response.status != 200 {
-        return Err(rejection(&mut response).await);
+        return Err(read_failure(&mut response).await);
     }
-    read_answer(&mut response, &job.stream, started).await
+    read_response(&mut response, &job.stream, started).await
 }
 
-async fn rejection(response: &mut IncomingResponse) -> EngineFailure {
+async fn read_failure(response: &mut IncomingResponse) -> EngineFailure {
     let status = response.status;
     let body = response.read_all().await.unwrap_or_default();
     let detail = format_smolstr!("status {status}: {}", String::from_utf8_lossy(&body));
@@ -130,19 +131,19 @@
     }
 }
 
-async fn read_answer(
+async fn read_response(
     response: &mut IncomingResponse,
     stream: &StreamBuffer,
     started: Instant,
-) -> Result<EngineAnswer, EngineFailure> {
-    let mut pending = Vec::new();
+) -> Result<EngineResponse, EngineFailure> {
+    let mut buffer = Vec::new();
     let mut text = String::new();
     let mut usage = None;
     let mut first_token = None;
     while let Some(chunk) = response.next_chunk().await? {
-        pending.extend_from_slice(&chunk);
-        while let Some(end) = pending.iter().position(|byte| *byte == b'\n') {
-            let line: Vec<u8> = pending.drain(..=end).collect();
+        buffer.extend_from_slice(&chunk);
+        while let Some(end) = buffer.iter().position(|byte| *byte == b'\n') {
+            let line: Vec<u8> = buffer.drain(..=end).collect();
             let Some(data) = line.strip_prefix(b"data: ") else {
                 continue;
             };
@@ -150,7 +151,7 @@
                 let total = started.elapsed();
                 return finish(text, usage, first_token.unwrap_or(total), total);
             }
-            let chunk: AnswerChunk = serde_json::from_slice(data)
+            let chunk: ResponseChunk = serde_json::from_slice(data)
                 .map_err(|error| EngineFailure::Failed(format_smolstr!("{error}")))?;
             for choice in &chunk.choices {
                 if choice.delta.content.is_empty() {
@@ -171,9 +172,9 @@
     usage: Option<ChunkUsage>,
     first_token: Duration,
     total: Duration,
-) -> Result<EngineAnswer, EngineFailure> {
+) -> Result<EngineResponse, EngineFailure> {
     let usage = usage.ok_or(EngineFailure::Failed("the answer has no usage".into()))?;
-    Ok(EngineAnswer {
+    Ok(EngineResponse {
         text,
         usage: TokenUsage {
             prompt_tokens: usage.prompt_tokens,
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Upstreams: reading their load, dispatching calls to them, and their caches.
+//! Upstreams: polls their load, dispatches calls to them and manages the prefixes that engines hold.
 
 mod breaker;
 mod engine;
--- a/src/upstream/orders.rs
+++ b/src/upstream/orders.rs
@@ -1,4 +1,7 @@
-//! Orders to engines to load models: one orderer in each failure domain, fenced and at a limited rate.
+//! Orders to engines to load models.
+//!
+//! One instance in each failure domain, the orderer, sends them. Orders carry a fencing number, and the weight store
+//! limits their rate.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,57 +19,57 @@
 use crate::record::{ConfigView, UpstreamKind, UpstreamSpec};
 use crate::scheduler::CallQueue;
 
-/// Time between two looks at what is loaded.
+/// Time between two checks of the loaded models.
 const ORDER_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time for which the orderer's lease holds without renewal.
+/// Duration of the orderer's lease without renewal.
 const LEASE_TIME: Duration = Duration::from_secs(10);
 
-/// Longest wait for an engine to take an order.
+/// Longest wait for an engine to acknowledge an order.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time for an engine to report a model that it was ordered to load.
-const LOAD_TIME: Duration = Duration::from_secs(30);
+/// Time for an engine to load and report an ordered model; the order is not repeated earlier.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Who may give orders in a failure domain, with the fencing number that goes up with each holder.
+/// The instance that may send orders in a failure domain, and its fencing number, which increases with each new holder.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-struct OrdererTenure {
+struct FenceRecord {
     holder: SmolStr,
     fence: u64,
 }
 
-/// What the orderer needs from the rest of the instance.
+/// Dependencies of the orderer on the rest of the instance.
 #[derive(Clone, Debug)]
 pub struct OrderContext {
     /// This process.
     pub me: InstanceRef,
     /// Its failure domain.
     pub domain: DomainId,
-    /// The platform.
+    /// Client of the key-value service.
     pub key_value: KeyValueClient,
     /// The configuration in force.
     pub config: Arc<ArcSwap<ConfigView>>,
-    /// What engines report.
+    /// Queue with the load reports of engines.
     pub queue: Arc<CallQueue>,
     /// Client for engines and the weight store.
     pub pool: HttpPool,
-    /// Base URL of the weight store, where there is one.
+    /// Base URL of the weight store, if there is one.
     pub weight_store: Option<SmolStr>,
 }
 
 struct ModelOrderer {
     context: OrderContext,
-    /// The own fencing number with the time since which it holds.
-    tenure: Option<(u64, Instant)>,
-    /// When an engine was last ordered to load a model.
+    /// This instance's fencing number, and when the instance acquired it.
+    held_fence: Option<(u64, Instant)>,
+    /// Time of the last order by engine and model.
     ordered: HashMap<(UpstreamName, ModelName), Instant>,
 }
 
-/// Gives orders while this instance holds the lease, until the token is cancelled.
+/// Sends orders while this instance holds the lease, until the token is cancelled.
 pub async fn run_orders(context: OrderContext, stop: CancellationToken) {
     let mut orderer = ModelOrderer {
         context,
-        tenure: None,
+        held_fence: None,
         ordered: HashMap::new(),
     };
     loop {
@@ -74,32 +77,33 @@
             () = tokio::time::sleep(ORDER_INTERVAL) => {}
             () = stop.cancelled() => return,
         }
-        if let Err(error) = orderer.look().await {
-            log::debug!("orders wait error={error}");
-            // Without an answer the lease counts as lost.
-            orderer.tenure = None;
+        if let Err(error) = orderer.order_missing().await {
+            log::debug!("model orders failed; retrying in the next pass error={error}");
+            // Without a usable response from the key-value service, the lease counts as lost.
+            orderer.held_fence = None;
         }
     }
 }
 
 impl ModelOrderer {
-    async fn look(&mut self) -> Result<(), KeyValueError> {
+    async fn order_missing(&mut self) -> Result<(), KeyValueError> {
         let config = self.context.config.load_full();
         let wanted = missing_models(&config, &self.context);
         if wanted.is_empty() {
             return Ok(());
         }
         if !self.hold_lease().await? {
-            self.tenure = None;
+            self.held_fence = None;
             return Ok(());
         }
-        let (fence, since) = match self.tenure {
-            Some(tenure) => tenure,
-            None => (self.take_fence().await?, Instant::now()),
+        let (fence, since) = match self.held_fence {
+            Some(held_fence) => held_fence,
+            None => (self.acquire_fence().await?, Instant::now()),
         };
-        self.tenure = Some((fence, since));
+        self.held_fence = Some((fence, since));
         for (model, engine, spec) in wanted {
-            // An engine that ignores fencing could still get an order of the holder before.
+            // An engine that does not check fencing numbers could still accept a delayed order of the previous
+            // holder, so it gets no order before that holder's lease and requests have expired.
             if !spec.checks_fencing && since.elapsed() < LEASE_TIME + ORDER_TIMEOUT {
                 continue;
             }
@@ -117,21 +121,21 @@
             .await
     }
 
-    /// Takes the next fencing number, or goes on with the own one.
-    async fn take_fence(&self) -> Result<u64, KeyValueError> {
+    /// Acquires the next fencing number, or returns the stored one if this instance is still its holder.
+    async fn acquire_fence(&self) -> Result<u64, KeyValueError> {
         let key = format_smolstr!("samphiregrade/order-fence/{}", self.context.domain);
         let holder = format_smolstr!("{}", self.context.me);
         let entry = self.context.key_value.read_key(&key).await?;
-        let known: Option<OrdererTenure> = entry
+        let known: Option<FenceRecord> = entry
             .as_ref()
             .and_then(|entry| serde_json::from_str(&entry.value).ok());
         let fence = match known {
-            Some(tenure) if tenure.holder == holder => return Ok(tenure.fence),
-            Some(tenure) => tenure.fence + 1,
+            Some(record) if record.holder == holder => return Ok(record.fence),
+            Some(record) => record.fence + 1,
             None => 1,
         };
-        let tenure = OrdererTenure { holder, fence };
-        let text = serde_json::to_string(&tenure).unwrap_or_default();
+        let record = FenceRecord { holder, fence };
+        let text = serde_json::to_string(&record).unwrap_or_default();
         let expected = entry.map_or(0, |entry| entry.revision);
         match self
             .context
@@ -152,11 +156,11 @@
         spec: &UpstreamSpec,
     ) {
         let key = (engine.clone(), model.clone());
-        let pending = self
+        let is_pending = self
             .ordered
             .get(&key)
-            .is_some_and(|at| at.elapsed() < LOAD_TIME);
-        if pending || !self.may_load(model).await {
+            .is_some_and(|at| at.elapsed() < LOAD_TIMEOUT);
+        if is_pending || !self.may_load(model).await {
             return;
         }
         self.ordered.insert(key, Instant::now());
@@ -164,30 +168,35 @@
         let request =
             OutgoingRequest::post_json(&url, &json!({"fence": fence, "load-model": model}))
                 .with_timeout(ORDER_TIMEOUT);
-        let answer = self.context.pool.send(request).await;
-        match answer.map(|response| response.status) {
-            Ok(200) => log::info!("model ordered model={model} engine={engine} fence={fence}"),
+        let response = self.context.pool.send(request).await;
+        match response.map(|response| response.status) {
+            Ok(200) => log::info!(
+                "engine accepted the load order model={model} engine={engine} fence={fence}"
+            ),
             Ok(412) => {
-                log::info!("order fenced engine={engine} fence={fence}");
-                self.tenure = None;
+                log::info!(
+                    "engine rejected the order because of its fencing number engine={engine} fence={fence}"
+                );
+                self.held_fence = None;
             }
-            Ok(status) => log::info!("order refused engine={engine} status={status}"),
-            Err(error) => log::info!("order not given engine={engine} error={error}"),
+            Ok(status) => log::info!("engine refused the order engine={engine} status={status}"),
+            Err(error) => log::info!("order failed engine={engine} error={error}"),
         }
     }
 
-    /// Asks the weight store for the model, which it hands out at a limited rate.
+    /// Requests the model from the weight store, which limits the rate of loads; returns whether it may be loaded now.
     async fn may_load(&self, model: &str) -> bool {
         let Some(base) = &self.context.weight_store else {
             return true;
         };
         let url = format_smolstr!("{base}/weights/{model}");
-        let answer = self.context.pool.send(OutgoingRequest::get(&url)).await;
-        answer.is_ok_and(|response| response.status == 200)
+        let response = self.context.pool.send(OutgoingRequest::get(&url)).await;
+        response.is_ok_and(|response| response.status == 200)
     }
 }
 
-/// Returns the models that too few engines of the own failure domain report, each with an engine.
+/// Returns the models that too few engines of this instance's failure domain have loaded, each with an engine that
+/// should load it. Engines without a recent report are left out.
 fn missing_models(
     config: &ConfigView,
     context: &OrderContext,
@@ -196,15 +205,17 @@
     for (model, spec) in config.models() {
         let engines: Vec<_> = config
             .upstreams()
-            .filter(|(_, one)| one.kind == UpstreamKind::Engine && !one.leaving)
-            .filter(|(_, one)| one.failure_domain == context.domain && one.models.contains(model))
+            .filter(|(_, upstream)| upstream.kind == UpstreamKind::Engine && !upstream.leaving)
+            .filter(|(_, upstream)| {
+                upstream.failure_domain == context.domain && upstream.models.contains(model)
+            })
             .collect();
         let (with, without): (Vec<_>, Vec<_>) = engines
             .into_iter()
             .filter(|(name, _)| context.queue.has_report(name))
             .partition(|(name, _)| context.queue.has_model(name, model));
-        let lacking = (spec.replicas as usize).saturating_sub(with.len());
-        for (name, spec) in without.into_iter().take(lacking) {
+        let shortfall = (spec.replicas as usize).saturating_sub(with.len());
+        for (name, spec) in without.into_iter().take(shortfall) {
             missing.push((model.clone(), name.clone(), spec.clone()));
         }
     }
--- a/src/upstream/poller.rs
+++ b/src/upstream/poller.rs
@@ -1,6 +1,6 @@
-//! Reads upstreams' load reports, cache events and lists of holds.
+//! Polls upstreams for load reports, cache events and lists of held prefixes.
 //!
-//! Each upstream is read by a few instances of its failure domain only; the others learn from them.
+//! Only a few instances of its failure domain poll an upstream; they pass its load reports on to the other instances.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,14 +20,14 @@
 use crate::record::{ConfigView, UpstreamKind, UpstreamSpec};
 use crate::scheduler::CallQueue;
 
-/// How upstreams are read.
+/// Settings for polling upstreams.
 #[derive(Clone, Debug)]
 pub struct PollerSettings {
-    /// Time between two readings of an upstream's load.
+    /// Interval at which an upstream's load is read.
     pub interval: Duration,
-    /// Time between two readings of an engine's holds.
+    /// Interval at which an engine's list of holds is read.
     pub holds_interval: Duration,
-    /// Instances of a failure domain that read the same upstream.
+    /// Number of instances of a failure domain that poll the same upstream.
     pub readers: usize,
 }
 
@@ -71,7 +71,7 @@
     holds_due: Instant,
 }
 
-/// Reads upstreams until the token is cancelled; engines' holds go to `holds`.
+/// Polls upstreams until the token is cancelled; sends the holds that engines list to `holds`.
 pub async fn run_poller(
     queue: Arc<CallQueue>,
     pool: HttpPool,
@@ -96,29 +96,29 @@
             _ = ticks.tick() => {}
             () = stop.cancelled() => return,
         }
-        poller.read_all(&config.load_full(), &holds).await;
+        poller.poll_all(&config.load_full(), &holds).await;
     }
 }
 
 impl UpstreamPoller {
-    async fn read_all(
+    async fn poll_all(
         &mut self,
         config: &ConfigView,
         holds: &mpsc::Sender<(ProgramId, UpstreamName)>,
     ) {
-        let mine: Vec<(UpstreamName, Arc<UpstreamSpec>)> = config
+        let assigned: Vec<(UpstreamName, Arc<UpstreamSpec>)> = config
             .upstreams()
             .filter(|(name, spec)| self.is_reader(name, spec))
             .map(|(name, spec)| (name.clone(), spec.clone()))
             .collect();
-        let loads = join_all(mine.iter().map(|(_, spec)| self.read_load(spec))).await;
-        let read = Instant::now();
-        for ((name, _), load) in mine.iter().zip(loads) {
+        let loads = join_all(assigned.iter().map(|(_, spec)| self.read_load(spec))).await;
+        let read_at = Instant::now();
+        for ((name, _), load) in assigned.iter().zip(loads) {
             if let Some(load) = load {
-                self.queue.take_report(name, load, read);
+                self.queue.record_report(name, load, read_at);
             }
         }
-        let engines: Vec<_> = mine
+        let engines: Vec<_> = assigned
             .into_iter()
             .filter(|(_, spec)| spec.kind == UpstreamKind::Engine)
             .collect();
@@ -131,7 +131,7 @@
         for ((name, _), events) in engines.iter().zip(events) {
             for event in events {
                 self.queue
-                    .take_cache_event(name, &event.session, event.cached_tokens);
+                    .record_cache_event(name, &event.session, event.cached_tokens);
                 self.last_events.insert(name.clone(), event.sequence);
             }
         }
@@ -141,18 +141,19 @@
         self.holds_due = Instant::now() + self.settings.holds_interval;
         for (name, spec) in &engines {
             for session in self.read_holds(spec).await {
-                // A full channel is read again at the next reading.
+                // If the channel is full, the hold is sent again after the next read.
                 let _ = holds.try_send((session, name.clone()));
             }
         }
     }
 
-    /// Chooses the readers of an upstream by rendezvous hashing over its failure domain.
+    /// Returns whether this instance polls the upstream, by rendezvous hashing over the live instances of the
+    /// upstream's failure domain.
     fn is_reader(&self, name: &str, spec: &UpstreamSpec) -> bool {
         let view = self.peers.view();
         let live = view.live_in(&spec.failure_domain, Instant::now());
         if view.domain != spec.failure_domain {
-            // A domain without an instance has its upstreams read from outside.
+            // Upstreams of a failure domain without live instances are polled from other domains.
             return live.is_empty();
         }
         let weight = |instance: &str| {
@@ -160,8 +161,8 @@
             *blake3::hash(text.as_bytes()).as_bytes()
         };
         let own = weight(&view.me.name);
-        let heavier = live.iter().filter(|peer| weight(&peer.instance.name) > own);
-        heavier.count() < self.settings.readers
+        let heavier_peers = live.iter().filter(|peer| weight(&peer.instance.name) > own);
+        heavier_peers.count() < self.settings.readers
     }
 
     async fn get<Value>(&self, url: &str) -> Option<Value>
--- a/src/upstream/runner.rs
+++ b/src/upstream/runner.rs
@@ -1,4 +1,4 @@
-//! Takes waiting calls to upstreams and brings their outcomes back.
+//! Dispatches waiting calls to upstreams and returns their outcomes to the shards.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,8 +13,8 @@
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
 
-use super::engine::{EngineAnswer, EngineFailure, complete};
-use super::service::{ServiceAnswer, ask_outcome, invoke};
+use super::engine::{EngineFailure, EngineResponse, complete};
+use super::service::{ServiceOutcome, invoke, query_outcome};
 use crate::contract::{CallSpec, Refusal, RefusalKind, ServiceCall};
 use crate::ids::{ClassName, ProgramId, ShardId, TokenCount, UpstreamName};
 use crate::program::CallOutcome;
@@ -22,45 +22,46 @@
 use crate::scheduler::{CallQueue, ChosenJob};
 use crate::shard::{DispatchJob, DispatchResult, DispatchSink, ShardCommand};
 
-/// Longest time between two passes while calls wait.
+/// Longest time between two passes over the queue while calls are waiting.
 const PASS_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Longest time between two passes while none waits.
+/// Longest time between two passes over the queue while it is empty.
 const IDLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Tries to learn the outcome of a call that must not be repeated.
+/// Attempts to query the outcome of a call that must not be repeated.
 const OUTCOME_TRIES: u32 = 8;
 
-/// Pause between two such tries.
+/// Pause between two such attempts.
 const OUTCOME_PAUSE: Duration = Duration::from_millis(250);
 
-/// Longest wait for an answer about a cache.
+/// Timeout of a request to hold or release a prefix.
 const CACHE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Retries allowed for each answered call, over time.
+/// Amount that each answered call adds to the retry budget.
 const RETRY_SHARE: f64 = 0.2;
 
-/// Retries allowed after a quiet time.
+/// Initial and maximum retry budget.
 const RETRY_BURST: f64 = 50.0;
 
-/// Failures after which a call is given up.
+/// Number of failures after which a call is refused.
 const FAILURE_LIMIT: u32 = 12;
 
-/// Pause of a call whose retry is not allowed yet.
+/// Pause of a call while the retry budget is exhausted; each pause adds to the budget, so that the call is retried
+/// eventually.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Counters of the calls to upstreams.
+/// Counters of calls to upstreams.
 #[derive(Debug, Default)]
 pub struct RunnerCounters {
     /// Calls sent.
     pub sent: AtomicU64,
     /// Calls answered.
     pub answered: AtomicU64,
-    /// Calls sent again.
+    /// Calls retried.
     pub retried: AtomicU64,
-    /// Calls whose outcome stayed unknown.
+    /// Calls whose outcome remained unknown.
     pub unknown: AtomicU64,
-    /// Prompt tokens of all answers.
+    /// Prompt tokens of all responses.
     pub prompt_tokens: AtomicU64,
     /// Prompt tokens that engines had cached.
     pub cached_tokens: AtomicU64,
@@ -70,13 +71,13 @@
     queue: Arc<CallQueue>,
     pool: HttpPool,
     config: Arc<ArcSwap<ConfigView>>,
-    work: Notify,
-    retries: Mutex<f64>,
+    wakeup: Notify,
+    retry_budget: Mutex<f64>,
     counters: RunnerCounters,
     handle: tokio::runtime::Handle,
 }
 
-/// Takes waiting calls to upstreams; cloning it is cheap.
+/// Dispatches waiting calls to upstreams; cloning it is cheap.
 #[derive(Clone)]
 pub struct UpstreamRunner {
     inner: Arc<RunnerInner>,
@@ -91,15 +92,15 @@
 }
 
 impl UpstreamRunner {
-    /// Makes a runner; to be called inside a tokio runtime.
+    /// Creates a runner; must be called inside a tokio runtime.
     #[must_use]
     pub fn new(queue: Arc<CallQueue>, pool: HttpPool, config: Arc<ArcSwap<ConfigView>>) -> Self {
         let inner = RunnerInner {
             queue,
             pool,
             config,
-            work: Notify::new(),
-            retries: Mutex::new(RETRY_BURST),
+            wakeup: Notify::new(),
+            retry_budget: Mutex::new(RETRY_BURST),
             counters: RunnerCounters::default(),
             handle: tokio::runtime::Handle::current(),
         };
@@ -108,24 +109,24 @@
         }
     }
 
-    /// Returns the counters.
+    /// Returns the counters of this runner.
     #[must_use]
     pub fn counters(&self) -> &RunnerCounters {
         &self.inner.counters
     }
 
-    /// Sends waiting calls until the token is cancelled.
+    /// Dispatches waiting calls until the token is cancelled.
     pub async fn run(self, stop: CancellationToken) {
         loop {
             let idle = self.inner.queue.is_idle();
             let interval = if idle { IDLE_INTERVAL } else { PASS_INTERVAL };
             tokio::select! {
-                () = self.inner.work.notified() => {}
+                () = self.inner.wakeup.notified() => {}
                 () = tokio::time::sleep(interval) => {}
                 () = stop.cancelled() => return,
             }
             for job in self.inner.queue.take_expired(SystemTime::now()) {
-                self.give_up_waiting(job);
+                self.refuse_expired(job);
             }
             let config = self.inner.config.load_full();
             for chosen in self.inner.queue.choose(&config, Instant::now()) {
@@ -135,8 +136,8 @@
         }
     }
 
-    /// Ends a call that was cancelled, or whose deadline passed, before it was sent.
-    fn give_up_waiting(&self, job: DispatchJob) {
+    /// Refuses a call whose deadline passed before it was sent; a cancelled call gets no outcome.
+    fn refuse_expired(&self, job: DispatchJob) {
         if job.cancel.is_cancelled() {
             return;
         }
@@ -166,7 +167,7 @@
         };
         let sender = job.done;
         self.inner.handle.spawn(async move {
-            // A task that is gone has left the call to the next primary.
+            // If the shard's task has ended, the shard's next primary handles the call.
             let _ = sender
                 .send(ShardCommand::DispatchFinished(Box::new(done)))
                 .await;
@@ -192,16 +193,16 @@
         };
         tokio::select! {
             () = work => {}
-            () = cancel.cancelled() => self.inner.queue.ended(&upstream, false),
+            () = cancel.cancelled() => self.inner.queue.record_end(&upstream, false),
             () = tokio::time::sleep(left), if idempotent => {
-                self.inner.queue.ended(&upstream, false);
+                self.inner.queue.record_end(&upstream, false);
                 let detail = "the deadline passed while the call ran";
                 let refusal = Refusal::unknown(RefusalKind::DeadlinePassed, detail);
                 let reserved = job.intent.reserved;
                 self.finish(job, CallOutcome::Refused(refusal), reserved, None);
             }
         }
-        self.inner.work.notify_one();
+        self.inner.wakeup.notify_one();
     }
 
     async fn run_model(&self, chosen: ChosenJob) {
@@ -215,11 +216,11 @@
             spec,
             priority,
         } = chosen;
-        let answer = complete(&self.inner.pool, &spec, &model, priority, &job).await;
-        match answer {
-            Ok(answer) => self.take_answer(job, upstream, answer),
+        let response = complete(&self.inner.pool, &spec, &model, priority, &job).await;
+        match response {
+            Ok(response) => self.accept_response(job, upstream, response),
             Err(EngineFailure::Rejected(status, detail)) => {
-                self.inner.queue.ended(&upstream, false);
+                self.inner.queue.record_end(&upstream, false);
                 let kind = if status == 413 {
                     RefusalKind::BudgetExhausted
                 } else {
@@ -229,39 +230,39 @@
                 self.finish(job, CallOutcome::Refused(refusal), 0, None);
             }
             Err(EngineFailure::Failed(detail)) => {
-                log::debug!("engine failed upstream={upstream} error={detail}");
-                self.inner.queue.ended(&upstream, true);
+                log::debug!("engine failed the call upstream={upstream} error={detail}");
+                self.inner.queue.record_end(&upstream, true);
                 self.retry(job, upstream).await;
             }
         }
     }
 
-    fn take_answer(&self, job: DispatchJob, upstream: UpstreamName, answer: EngineAnswer) {
+    fn accept_response(&self, job: DispatchJob, upstream: UpstreamName, response: EngineResponse) {
         let counters = &self.inner.counters;
         counters.answered.fetch_add(1, Ordering::Relaxed);
         counters
             .prompt_tokens
-            .fetch_add(answer.usage.prompt_tokens, Ordering::Relaxed);
+            .fetch_add(response.usage.prompt_tokens, Ordering::Relaxed);
         counters
             .cached_tokens
-            .fetch_add(answer.usage.cached_tokens, Ordering::Relaxed);
+            .fetch_add(response.usage.cached_tokens, Ordering::Relaxed);
         self.earn_retry();
-        self.inner.queue.answered(
+        self.inner.queue.record_response(
             &job,
             &upstream,
-            answer.usage,
-            answer.first_token,
-            answer.total,
+            response.usage,
+            response.first_token,
+            response.total,
         );
-        let used = job.intent.spec.prompt_tokens() + answer.usage.completion_tokens;
+        let used = job.intent.spec.prompt_tokens() + response.usage.completion_tokens;
         let outcome = CallOutcome::Answer {
-            text: answer.text,
-            usage: answer.usage,
+            text: response.text,
+            usage: response.usage,
         };
         self.finish(job, outcome, used, Some(upstream));
     }
 
-    /// Puts a call back in line, as the retry budget allows.
+    /// Enqueues a failed call again as soon as the retry budget allows, or refuses it after too many failures.
     async fn retry(&self, mut job: DispatchJob, avoid: UpstreamName) {
         job.failures += 1;
         if job.failures >= FAILURE_LIMIT {
@@ -278,28 +279,28 @@
         job.stream.restart();
         let config = self.inner.config.load_full();
         self.inner.queue.push(job, &config, Some(avoid));
-        self.inner.work.notify_one();
+        self.inner.wakeup.notify_one();
     }
 
     fn earn_retry(&self) {
-        let mut retries = self
+        let mut budget = self
             .inner
-            .retries
+            .retry_budget
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        *retries = (*retries + RETRY_SHARE).min(RETRY_BURST);
+        *budget = (*budget + RETRY_SHARE).min(RETRY_BURST);
     }
 
     fn spend_retry(&self) -> bool {
-        let mut retries = self
+        let mut budget = self
             .inner
-            .retries
+            .retry_budget
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        if *retries < 1.0 {
+        if *budget < 1.0 {
             return false;
         }
-        *retries -= 1.0;
+        *budget -= 1.0;
         true
     }
 
@@ -310,50 +311,53 @@
             spec,
             ..
         } = chosen;
-        let answer = if job.resolve_only {
-            ServiceAnswer::Unknown("an earlier primary may have sent the call".into())
+        let outcome = if job.resolve_only {
+            ServiceOutcome::Unknown("an earlier primary may have sent the call".into())
         } else {
             invoke(&self.inner.pool, &spec, call, &job).await
         };
-        let failed = matches!(answer, ServiceAnswer::NotRun(_) | ServiceAnswer::Unknown(_));
+        let failed = matches!(
+            outcome,
+            ServiceOutcome::NotRun(_) | ServiceOutcome::Unknown(_)
+        );
         self.inner
             .queue
-            .ended(&upstream, failed && !job.resolve_only);
-        match answer {
-            ServiceAnswer::Reply(status, body) => {
+            .record_end(&upstream, failed && !job.resolve_only);
+        match outcome {
+            ServiceOutcome::Reply(status, body) => {
                 self.earn_retry();
                 self.inner.counters.answered.fetch_add(1, Ordering::Relaxed);
                 self.finish(job, CallOutcome::Reply { status, body }, 0, None);
             }
-            ServiceAnswer::Fenced => log::info!("call fenced upstream={upstream}"),
-            ServiceAnswer::NotRun(detail) => {
-                log::debug!("service not reached upstream={upstream} error={detail}");
+            ServiceOutcome::Fenced => log::info!("stale fencing number upstream={upstream}"),
+            ServiceOutcome::NotRun(detail) => {
+                log::debug!("service did not run the call upstream={upstream} error={detail}");
                 self.retry(job, upstream).await;
             }
-            ServiceAnswer::Unknown(_) if call.idempotent => self.retry(job, upstream).await,
-            ServiceAnswer::Unknown(detail) => {
-                log::info!("outcome not known upstream={upstream} error={detail}");
+            ServiceOutcome::Unknown(_) if call.idempotent => self.retry(job, upstream).await,
+            ServiceOutcome::Unknown(detail) => {
+                log::info!("outcome of the call is unknown upstream={upstream} error={detail}");
                 self.resolve(job, call).await;
             }
         }
     }
 
-    /// Asks the service for the outcome of a call that must not be sent again.
+    /// Queries the service for the outcome of a call that must not be sent again.
     async fn resolve(&self, job: DispatchJob, call: &ServiceCall) {
         for _ in 0..OUTCOME_TRIES {
             let config = self.inner.config.load_full();
-            let tellers: Vec<_> = config
+            let specs: Vec<_> = config
                 .upstreams()
                 .filter(|(_, spec)| spec.kind == UpstreamKind::Service)
                 .filter(|(_, spec)| spec.service == call.service && spec.tells_outcome)
                 .map(|(_, spec)| spec.clone())
                 .collect();
-            if tellers.is_empty() {
+            if specs.is_empty() {
                 break;
             }
-            for spec in tellers {
-                let told = ask_outcome(&self.inner.pool, &spec, &job).await;
-                if let Some(ServiceAnswer::Reply(status, body)) = told {
+            for spec in specs {
+                let reply = query_outcome(&self.inner.pool, &spec, &job).await;
+                if let Some(ServiceOutcome::Reply(status, body)) = reply {
                     self.finish(job, CallOutcome::Reply { status, body }, 0, None);
                     return;
                 }
@@ -368,15 +372,15 @@
 
     async fn cache_call(&self, action: &str, program: &ProgramId, upstream: &str) -> bool {
         let config = self.inner.config.load_full();
-        // An engine without a record is gone, and what it held with it.
+        // An engine without a record is gone, and the prefixes that it held with it.
         let Some(spec) = config.upstream(upstream) else {
             return true;
         };
         let url = format_smolstr!("{}/cache/{action}", spec.address);
         let request = OutgoingRequest::post_json(&url, &json!({"session": program}))
             .with_timeout(CACHE_TIMEOUT);
-        let answer = self.inner.pool.send(request).await;
-        answer.is_ok_and(|response| response.status == 200)
+        let response = self.inner.pool.send(request).await;
+        response.is_ok_and(|response| response.status == 200)
     }
 }
 
@@ -390,7 +394,7 @@
 
     fn dispatch(&self, job: DispatchJob) {
         self.inner.queue.push(job, &self.inner.config.load(), None);
-        self.inner.work.notify_one();
+        self.inner.wakeup.notify_one();
     }
 
     fn should_hold(&self, class: &ClassName, upstream: &UpstreamName, tokens: u64) -> bool {
@@ -403,14 +407,14 @@
         let runner = self.clone();
         self.inner.handle.spawn(async move {
             if runner.cache_call("hold", &program, &upstream).await {
-                runner.inner.queue.note_hold(&program, true);
+                runner.inner.queue.record_hold(&program, true);
             }
         });
     }
 
     fn release(&self, program: ProgramId, upstream: UpstreamName) -> BoxFuture<'_, bool> {
         async move {
-            self.inner.queue.note_hold(&program, false);
+            self.inner.queue.record_hold(&program, false);
             self.cache_call("release", &program, &upstream).await
         }
         .boxed()
--- a/src/upstream/service.rs
+++ b/src/upstream/service.rs
@@ -1,4 +1,4 @@
-//! Calls to tool services and plain services by HTTP.
+//! Calls to tool services and plain services over HTTP.
 
 use samphiregrade_http::{HttpError, HttpPool, IncomingResponse, OutgoingRequest};
 use smol_str::{SmolStr, format_smolstr};
@@ -7,26 +7,26 @@
 use crate::record::UpstreamSpec;
 use crate::shard::DispatchJob;
 
-/// What a service answered.
+/// Outcome of a request to a service.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ServiceAnswer {
-    /// Its reply.
+pub enum ServiceOutcome {
+    /// The service replied with this status and body.
     Reply(u16, String),
-    /// It certainly did not run; another try is right.
+    /// The call certainly did not run, so it may be sent again.
     NotRun(SmolStr),
-    /// It may have run.
+    /// The call may have run.
     Unknown(SmolStr),
-    /// It refuses this primary's fencing number: another has taken over.
+    /// The service rejected this primary's fencing number, because another primary has taken over.
     Fenced,
 }
 
-/// Sends a call to a service, once.
+/// Sends a call to a service without retries.
 pub async fn invoke(
     pool: &HttpPool,
     spec: &UpstreamSpec,
     call: &ServiceCall,
     job: &DispatchJob,
-) -> ServiceAnswer {
+) -> ServiceOutcome {
     let url = format_smolstr!("{}/invoke/{}", spec.address, call.tool);
     let request = OutgoingRequest::new(ntex::http::Method::POST, &url)
         .with_header("content-type", "application/json")
@@ -38,39 +38,39 @@
         .with_timeout(spec.timeout());
     match pool.send(request).await {
         Ok(response) => read_reply(response).await,
-        Err(error) => failure(&error),
+        Err(error) => failed_outcome(&error),
     }
 }
 
-async fn read_reply(mut response: IncomingResponse) -> ServiceAnswer {
+async fn read_reply(mut response: IncomingResponse) -> ServiceOutcome {
     let status = response.status;
     let body = match response.read_all().await {
         Ok(body) => String::from_utf8_lossy(&body).into_owned(),
-        Err(error) => return failure(&error),
+        Err(error) => return failed_outcome(&error),
     };
     match status {
-        412 => ServiceAnswer::Fenced,
-        429 => ServiceAnswer::NotRun(format_smolstr!("status {status}")),
-        500.. => ServiceAnswer::Unknown(format_smolstr!("status {status}")),
-        _ => ServiceAnswer::Reply(status, body),
+        412 => ServiceOutcome::Fenced,
+        429 => ServiceOutcome::NotRun(format_smolstr!("status {status}")),
+        500.. => ServiceOutcome::Unknown(format_smolstr!("status {status}")),
+        _ => ServiceOutcome::Reply(status, body),
     }
 }
 
-fn failure(error: &HttpError) -> ServiceAnswer {
+fn failed_outcome(error: &HttpError) -> ServiceOutcome {
     let detail = format_smolstr!("{error}");
     if error.not_sent() {
-        ServiceAnswer::NotRun(detail)
+        ServiceOutcome::NotRun(detail)
     } else {
-        ServiceAnswer::Unknown(detail)
+        ServiceOutcome::Unknown(detail)
     }
 }
 
-/// Asks a service for the outcome of an earlier call; `None` where it knows of none.
-pub async fn ask_outcome(
+/// Queries a service for the outcome of an earlier call; returns `None` if the service knows none or does not respond.
+pub async fn query_outcome(
     pool: &HttpPool,
     spec: &UpstreamSpec,
     job: &DispatchJob,
-) -> Option<ServiceAnswer> {
+) -> Option<ServiceOutcome> {
     let url = format_smolstr!("{}/outcome", spec.address);
     let request = OutgoingRequest::get(&url)
         .with_header("idempotency-key", &job.intent.idempotency_key())
@@ -80,7 +80,7 @@
         return None;
     }
     let body = response.read_all().await.ok()?;
-    Some(ServiceAnswer::Reply(
+    Some(ServiceOutcome::Reply(
         200,
         String::from_utf8_lossy(&body).into_owned(),
     ))
