--- a/src/scheduler/learn.rs
+++ b/src/scheduler/learn.rs
@@ -51,7 +51,7 @@
     returned: MovingAverage,
     /// Number of programs that ended after as many calls as the index says.
     #[serde(skip)]
-    calls_at_end: Vec<u32>,
+    ended_after: Vec<u32>,
 }
 
 impl ClassHistory {
@@ -82,7 +82,7 @@
     /// made at least as many, or 1 if there is none.
     #[must_use]
     pub fn remaining_calls(&self, calls: u32) -> f64 {
-        let buckets = self.calls_at_end.iter().enumerate().skip(calls as usize);
+        let buckets = self.ended_after.iter().enumerate().skip(calls as usize);
         let (mut programs, mut remaining) = (0.0, 0.0);
         for (total_calls, count) in buckets {
             let more = f64::from(
@@ -166,10 +166,10 @@
         let history = self.entry(class);
         history.returned.observe(0.0);
         let bucket = (calls as usize).min(CALL_BUCKETS - 1);
-        if history.calls_at_end.len() <= bucket {
-            history.calls_at_end.resize(bucket + 1, 0);
+        if history.ended_after.len() <= bucket {
+            history.ended_after.resize(bucket + 1, 0);
         }
-        history.calls_at_end[bucket] += 1;
+        history.ended_after[bucket] += 1;
     }
 }
 
