--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names and numbers by which the system's parts refer to each other.
+//! Identifiers and number types shared by all modules.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,7 +9,7 @@
 
 /// Name of a failure domain.
 pub type DomainId = SmolStr;
-/// Name of an instance, unique in the deployment and kept over restarts.
+/// Name of an instance, unique in the deployment and kept across restarts.
 pub type InstanceName = SmolStr;
 /// Name of an organisation.
 pub type OrganisationId = SmolStr;
@@ -19,15 +19,15 @@
 pub type UpstreamName = SmolStr;
 /// Name of a model.
 pub type ModelName = SmolStr;
-/// Identifies a program; it carries the program's shard.
+/// Identifies a program; contains the id of the program's shard.
 pub type ProgramId = SmolStr;
 /// Number of a call within its program, from 1.
 pub type SequenceNumber = u32;
-/// Number of a configuration of a shard's copies; it only goes up.
+/// Number of a configuration of a shard's copies; only increases.
 pub type ShardEpoch = u64;
-/// Position in a shard's log, from 1; 0 stands before the first entry.
+/// Position in a shard's log, from 1; 0 is the position before the first entry.
 pub type LogIndex = u64;
-/// Revision of the platform's key-value service.
+/// Revision of the key-value service.
 pub type RevisionNumber = u64;
 /// A number of tokens.
 pub type TokenCount = u64;
@@ -35,14 +35,14 @@
 /// Hexadecimal digits of the part of a program id that is derived from the caller's key.
 const PROGRAM_DIGEST_DIGITS: usize = 20;
 
-/// A started process of an instance: the name with a number drawn at the start.
+/// One process of an instance: the instance's name with a number that is generated at the start.
 ///
-/// A restarted instance has lost its memory, so it counts as another member.
+/// A restarted instance has lost the state in its memory, so it counts as another member.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct InstanceRef {
     /// Name of the instance.
     pub name: InstanceName,
-    /// Number drawn at the start of the process.
+    /// Number generated at the start of the process.
     pub incarnation: u64,
 }
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// A text that is not a program id.
+/// Error for a text that is not a program id.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 #[error("`{0}` is not a program id; use the one that the begin of the program returned")]
 pub struct ProgramIdError(pub SmolStr);
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`ProgramIdError`] for any text that [`program_id`] can't have made.
+    /// Returns [`ProgramIdError`] for any text that does not have the form of a [`program_id`].
     pub fn of_program(program: &str) -> Result<Self, ProgramIdError> {
         let error = || ProgramIdError(program.into());
         let (rest, digest) = program.rsplit_once('.').ok_or_else(error)?;
@@ -96,19 +96,18 @@
 
 /// Composes the id of a program from its shard, its organisation and the caller's key.
 ///
-/// The same key gives the same id for ever, which makes the begin of a program idempotent
-/// without any lookup.
+/// The same key always gives the same id, which makes the start of a program idempotent without a lookup.
 #[must_use]
 pub fn program_id(shard: &ShardId, organisation: &str, key: &str) -> ProgramId {
     let digest = key_digest(organisation, key).to_hex();
     format_smolstr!("{shard}.{}", &digest[..PROGRAM_DIGEST_DIGITS])
 }
 
-/// Chooses the natural shard of a caller's key among `shards` shards of each failure domain.
+/// Computes the shard of a caller's key by hash, among `shards` shards of each failure domain.
 ///
 /// # Panics
 ///
-/// Panics where `domains` is empty or `shards` is 0.
+/// Panics if `domains` is empty or `shards` is 0.
 #[must_use]
 pub fn natural_shard(domains: &[DomainId], shards: u16, organisation: &str, key: &str) -> ShardId {
     let digest = key_digest(organisation, key);
@@ -121,11 +120,11 @@
     }
 }
 
-/// Chooses the natural shard of a caller's key within one failure domain.
+/// Computes the shard of a caller's key by hash, within one failure domain.
 ///
 /// # Panics
 ///
-/// Panics where `shards` is 0.
+/// Panics if `shards` is 0.
 #[must_use]
 pub fn shard_in_domain(domain: &DomainId, shards: u16, organisation: &str, key: &str) -> ShardId {
     natural_shard(std::slice::from_ref(domain), shards, organisation, key)
--- a/src/instance/callers.rs
+++ b/src/instance/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' interface: finding the primary, and answering as primary.
+//! The callers' interface: routes each request to its shard's primary, and serves it as the primary.
 
 mod operation;
 mod respond;
@@ -22,39 +22,39 @@
 use crate::program::{ProgramBegin, body_digest, grant_limits};
 use crate::shard::{CallCommand, CallReply, ProgramQuery, ShardCommand};
 
-/// Pause between two tries to find a shard's primary.
+/// Pause between two attempts to find a shard's primary.
 const ROUTE_PAUSE: Duration = Duration::from_millis(50);
 
-/// When a caller should ask again whose shard has no primary.
+/// Value of `Retry-After` for a request whose shard has no primary.
 const ROUTE_RETRY: Duration = Duration::from_millis(500);
 
-/// When a caller should ask again that came to an instance that ends: at once, since others go on.
+/// Value of `Retry-After` from an instance that shuts down: short, since other instances continue to serve.
 const STOPPING_RETRY: Duration = Duration::from_millis(100);
 
-/// What an instance that may be primary answers.
+/// Result of a request to an instance that may be its shard's primary.
 pub enum LocalAnswer {
-    /// The answer.
+    /// The response to the caller.
     Response(OutgoingResponse),
-    /// The shard's primary is another instance, or nobody yet.
+    /// The shard's primary is another instance, or the shard has none yet.
     NotPrimary,
 }
 
 impl InstanceState {
-    /// Answers a caller's request.
+    /// Serves a caller's request.
     pub(super) async fn serve_caller(&self, request: IncomingRequest) -> OutgoingResponse {
         let response = match request.path.as_str() {
             "/healthz" => OutgoingResponse::json(200, &json!({"status": "alive"})),
             "/readyz" => self.readiness(),
-            _ => self.answer_caller(request).await,
+            _ => self.handle_caller_request(request).await,
         };
         if self.is_draining() {
-            // The caller's next request is to go to another instance.
+            // Closing the connection makes the caller send its next request to another instance.
             return response.with_header("connection", "close");
         }
         response
     }
 
-    async fn answer_caller(&self, request: IncomingRequest) -> OutgoingResponse {
+    async fn handle_caller_request(&self, request: IncomingRequest) -> OutgoingResponse {
         if self.gate.is_closed() {
             return refuse_stopping().response();
         }
@@ -66,10 +66,10 @@
         })
     }
 
-    /// The last word to a caller whose request is under way when the instance ends.
-    pub(super) fn refuse_at_end(&self) -> OutgoingResponse {
+    /// Composes the response to a caller whose request is still running at the shutdown deadline.
+    pub(super) fn refuse_at_deadline(&self) -> OutgoingResponse {
         log::info!(
-            "request refused at the end instance={}",
+            "request refused at the shutdown deadline instance={}",
             self.peers.view().me
         );
         refuse_stopping()
@@ -86,7 +86,7 @@
 
     async fn route_request(&self, request: IncomingRequest) -> Result<OutgoingResponse, Refusal> {
         if self.records.revision() == 0 {
-            // Nothing can be said about a token or a class before the configuration is known.
+            // Tokens and classes can't be checked before the configuration is known.
             let detail = "the instance has no configuration yet";
             let refusal = Refusal::unknown(RefusalKind::ShardUnavailable, detail);
             return Err(refusal.with_retry_after(ROUTE_RETRY));
@@ -103,10 +103,10 @@
         let shard = self.shard_of(&operation, &organisation)?;
         let deadline = Instant::now() + Duration::from_millis(self.settings.limits.route_ms);
         while Instant::now() < deadline {
-            let answer = self
+            let received = self
                 .try_primary(&shard, &operation, &organisation, &forwarded)
                 .await;
-            if let Some(response) = answer {
+            if let Some(response) = received {
                 return Ok(response);
             }
             tokio::time::sleep(ROUTE_PAUSE).await;
@@ -125,7 +125,7 @@
     ) -> Option<OutgoingResponse> {
         let placement = self.maps.placement(shard)?;
         if placement.primary == self.peers.view().me {
-            return match self.answer_locally(operation, organisation).await {
+            return match self.handle_locally(operation, organisation).await {
                 LocalAnswer::Response(response) => Some(response),
                 LocalAnswer::NotPrimary => None,
             };
@@ -196,8 +196,8 @@
         Ok(shard_in_domain(&domain, shards, organisation, &begin.key))
     }
 
-    /// Answers an operation where this instance is the shard's primary.
-    pub(super) async fn answer_locally(
+    /// Executes an operation if this instance is the primary of its shard.
+    pub(super) async fn handle_locally(
         &self,
         operation: &CallerOperation,
         organisation: &OrganisationId,
@@ -219,7 +219,7 @@
                 self.begin(&shard, begin, body, organisation).await
             }
             OperationKind::Call(call) => {
-                let (reply, answer) = oneshot::channel();
+                let (reply, received) = oneshot::channel();
                 let command = CallCommand {
                     program: operation.program.clone(),
                     sequence: call.sequence,
@@ -228,60 +228,60 @@
                     organisation: organisation.clone(),
                     reply,
                 };
-                self.tell(&shard, ShardCommand::Call(Box::new(command)))
+                self.send_command(&shard, ShardCommand::Call(Box::new(command)))
                     .await;
-                let answer = answer.await.unwrap_or(CallReply::NotPrimary);
+                let received = received.await.unwrap_or(CallReply::NotPrimary);
                 let program = &operation.program;
-                self.respond_to_call(program, call.sequence, call.stream, answer)
+                self.respond_to_call(program, call.sequence, call.stream, received)
                     .await
             }
-            OperationKind::LateAnswer(sequence, offset) => {
-                let (reply, answer) = oneshot::channel();
-                let question = ProgramQuery::Call(*sequence, reply);
-                self.inspect(&shard, operation, organisation, question)
+            OperationKind::LateResponse(sequence, offset) => {
+                let (reply, received) = oneshot::channel();
+                let query = ProgramQuery::Call(*sequence, reply);
+                self.send_query(&shard, operation, organisation, query)
                     .await;
-                let answer = answer.await.unwrap_or(CallReply::NotPrimary);
-                self.respond_late(&operation.program, *sequence, *offset, answer)
+                let received = received.await.unwrap_or(CallReply::NotPrimary);
+                self.respond_late(&operation.program, *sequence, *offset, received)
             }
             OperationKind::Show => {
-                let (reply, answer) = oneshot::channel();
-                let question = ProgramQuery::Program(reply);
-                self.inspect(&shard, operation, organisation, question)
+                let (reply, received) = oneshot::channel();
+                let query = ProgramQuery::Program(reply);
+                self.send_query(&shard, operation, organisation, query)
                     .await;
-                respond::json_or_moved(answer.await.ok())
+                respond::json_or_not_primary(received.await.ok())
             }
             OperationKind::History => {
-                let (reply, answer) = oneshot::channel();
-                let question = ProgramQuery::History(reply);
-                self.inspect(&shard, operation, organisation, question)
+                let (reply, received) = oneshot::channel();
+                let query = ProgramQuery::History(reply);
+                self.send_query(&shard, operation, organisation, query)
                     .await;
-                respond::json_or_moved(answer.await.ok())
+                respond::json_or_not_primary(received.await.ok())
             }
             OperationKind::End => {
-                let (reply, answer) = oneshot::channel();
+                let (reply, received) = oneshot::channel();
                 let program = operation.program.clone();
                 let command = ShardCommand::End(program, organisation.clone(), reply);
-                self.tell(&shard, command).await;
-                respond::json_or_moved(answer.await.ok().flatten())
+                self.send_command(&shard, command).await;
+                respond::json_or_not_primary(received.await.ok().flatten())
             }
         }
     }
 
-    async fn tell(&self, shard: &ShardId, command: ShardCommand) {
-        // A task that is gone drops the command, and with it the channel of its answer.
+    async fn send_command(&self, shard: &ShardId, command: ShardCommand) {
+        // If the copy's task has ended, the command is dropped, which closes its reply channel.
         let _ = self.shards.copy(shard).send(command).await;
     }
 
-    async fn inspect(
+    async fn send_query(
         &self,
         shard: &ShardId,
         operation: &CallerOperation,
         organisation: &OrganisationId,
-        question: ProgramQuery,
+        query: ProgramQuery,
     ) {
         let program = operation.program.clone();
-        let command = ShardCommand::Query(program, organisation.clone(), question);
-        self.tell(shard, command).await;
+        let command = ShardCommand::Query(program, organisation.clone(), query);
+        self.send_command(shard, command).await;
     }
 
     async fn begin(
@@ -295,10 +295,10 @@
             Ok(begin) => begin,
             Err(refusal) => return LocalAnswer::Response(refusal.response()),
         };
-        let (reply, answer) = oneshot::channel();
-        self.tell(shard, ShardCommand::Begin(Box::new(begin), reply))
+        let (reply, received) = oneshot::channel();
+        self.send_command(shard, ShardCommand::Begin(Box::new(begin), reply))
             .await;
-        respond::json_or_moved(answer.await.ok().flatten())
+        respond::json_or_not_primary(received.await.ok().flatten())
     }
 
     fn compose_begin(
@@ -321,7 +321,7 @@
             limits.wall_time = limits.wall_time.min(deadline);
         }
         let began = SystemTime::now();
-        // A sub-agent's key counts within its parent.
+        // The key of a sub-agent is scoped to its parent program.
         let scope = request.parent.as_ref().unwrap_or(organisation);
         Ok(ProgramBegin {
             program: program_id(shard, scope, &request.key),
@@ -337,12 +337,12 @@
         })
     }
 
-    /// Has the hold that an engine lists checked by the copy that is primary here.
+    /// Sends a hold that an engine lists to the local primary copy to be checked.
     pub(super) fn audit_hold(&self, program: ProgramId, upstream: UpstreamName) {
         let Ok(shard) = ShardId::of_program(&program) else {
             return;
         };
-        // A full inbox is tried again at the next reading.
+        // If the inbox is full, the next reading of the engine's holds sends the hold again.
         let _ = self
             .shards
             .copy(&shard)
@@ -350,9 +350,10 @@
     }
 }
 
-/// Refuses a request because the instance ends.
+/// Refuses a request because the instance shuts down.
 ///
-/// Whether it ran is left open: the same request may have come before, here or through another instance.
+/// The refusal does not say whether the request ran: the same request may have arrived earlier, here or through
+/// another instance.
 fn refuse_stopping() -> Refusal {
     let refusal = Refusal::unknown(RefusalKind::ShuttingDown, "the instance is shutting down");
     refusal.with_retry_after(STOPPING_RETRY)
--- a/src/instance/callers/operation.rs
+++ b/src/instance/callers/operation.rs
@@ -1,4 +1,4 @@
-//! Parsing a caller's request into what it asks for.
+//! Parses callers' HTTP requests into operations.
 
 use smol_str::format_smolstr;
 
@@ -7,42 +7,42 @@
 use crate::link::ForwardedRequest;
 use crate::program::{BodyDigest, body_digest};
 
-/// A call as it was sent.
+/// A call as the caller sent it.
 #[derive(Clone, Debug)]
 pub struct CallOperation {
     /// Number of the call.
     pub sequence: SequenceNumber,
     /// Digest of the body.
     pub digest: BodyDigest,
-    /// What is asked for.
+    /// Specification of the call.
     pub spec: CallSpec,
-    /// Offset from which the text is streamed; `None` for the whole answer at once.
+    /// Offset from which the text is streamed; `None` for the complete response at once.
     pub stream: Option<usize>,
 }
 
-/// What a caller asks for.
+/// Kind of a caller's operation.
 #[derive(Clone, Debug)]
 pub enum OperationKind {
-    /// Begin a program, with the body as sent.
+    /// Start a program; the second part is the body as sent.
     Begin(BeginRequest, Vec<u8>),
-    /// A call.
+    /// Make a call.
     Call(CallOperation),
-    /// The answer of an earlier call, streamed from an offset or at once.
-    LateAnswer(SequenceNumber, Option<usize>),
-    /// The state of a program.
+    /// Fetch the response of an earlier call: streamed from an offset, or complete at once.
+    LateResponse(SequenceNumber, Option<usize>),
+    /// Return the state of a program.
     Show,
-    /// The conversation of a program.
+    /// Return the conversation of a program.
     History,
     /// End a program.
     End,
 }
 
-/// What a caller asks for, and of which program.
+/// A caller's operation with the program that it concerns.
 #[derive(Clone, Debug)]
 pub struct CallerOperation {
-    /// The program; empty for a begin.
+    /// The program; empty for an operation that starts one.
     pub program: ProgramId,
-    /// What is asked for.
+    /// Kind of the operation.
     pub kind: OperationKind,
 }
 
@@ -64,7 +64,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a refusal that names the wrong field and the remedy.
+    /// Returns a refusal that names the invalid field and the remedy.
     pub fn parse(request: &ForwardedRequest) -> Result<Self, Refusal> {
         let segments: Vec<&str> = request
             .path
@@ -84,7 +84,7 @@
                 (*program, parse_call(request, sequence)?)
             }
             ("GET", ["v1", "programs", program, "calls", sequence]) => {
-                let kind = OperationKind::LateAnswer(parse_sequence(sequence)?, offset(request)?);
+                let kind = OperationKind::LateResponse(parse_sequence(sequence)?, offset(request)?);
                 (*program, kind)
             }
             _ => return Err(unknown()),
@@ -125,7 +125,7 @@
     }
 }
 
-/// Reads the offset from which a stream is resumed.
+/// Reads the offset at which a stream is resumed from the query.
 fn offset(request: &ForwardedRequest) -> Result<Option<usize>, Refusal> {
     let pairs = request
         .query
--- a/src/instance/callers/respond.rs
+++ b/src/instance/callers/respond.rs
@@ -1,4 +1,4 @@
-//! Composing the responses to calls: at once, streamed, resumed or late.
+//! Composes the responses to calls: complete, streamed, resumed or fetched later.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,21 +17,21 @@
 use crate::program::CallOutcome;
 use crate::shard::{CallReply, StreamBuffer, StreamRead, StreamReader};
 
-/// Events of a stream that may wait for their reader.
+/// Capacity of the queue of events of one stream.
 const STREAM_QUEUE: usize = 64;
 
-/// Last event of a stream that goes on elsewhere: the caller has to ask again.
+/// Last event of a stream that continues on another instance: the caller has to send its request again.
 pub const MOVED_EVENT: Bytes = Bytes::from_static(b"event: moved\ndata: {}\n\n");
 
-/// When a caller should ask again whose answer takes long.
+/// Value of `Retry-After` for a call that outlasts the wait of its request.
 const LONG_ANSWER_RETRY: Duration = Duration::from_millis(200);
 
-/// Composes a JSON response, or tells that the primary is elsewhere.
-pub fn json_or_moved<Body>(answer: Option<Result<Body, Refusal>>) -> LocalAnswer
+/// Composes a JSON response; without a reply, the primary is another instance.
+pub fn json_or_not_primary<Body>(reply: Option<Result<Body, Refusal>>) -> LocalAnswer
 where
     Body: Serialize,
 {
-    match answer {
+    match reply {
         Some(Ok(body)) => LocalAnswer::Response(OutgoingResponse::json(200, &body)),
         Some(Err(refusal)) => LocalAnswer::Response(refusal.response()),
         None => LocalAnswer::NotPrimary,
@@ -39,19 +39,19 @@
 }
 
 impl InstanceState {
-    /// Answers a call, as soon as its outcome is stored or as the text comes.
+    /// Responds to a call: once its outcome is stored, or streamed as the text arrives.
     pub async fn respond_to_call(
         &self,
         program: &ProgramId,
         sequence: SequenceNumber,
         offset: Option<usize>,
-        answer: CallReply,
+        reply: CallReply,
     ) -> LocalAnswer {
-        match (answer, offset) {
+        match (reply, offset) {
             (CallReply::Stream(stream), None) => {
                 self.wait_for_outcome(program, sequence, &stream).await
             }
-            (answer, offset) => self.respond_late(program, sequence, offset, answer),
+            (reply, offset) => self.respond_late(program, sequence, offset, reply),
         }
     }
 
@@ -74,15 +74,15 @@
         }
     }
 
-    /// Answers a question for the answer of an earlier call.
+    /// Responds to a request for the outcome of an earlier call.
     pub fn respond_late(
         &self,
         program: &ProgramId,
         sequence: SequenceNumber,
         offset: Option<usize>,
-        answer: CallReply,
+        reply: CallReply,
     ) -> LocalAnswer {
-        let response = match (answer, offset) {
+        let response = match (reply, offset) {
             (CallReply::NotPrimary, _) => return LocalAnswer::NotPrimary,
             (CallReply::Refused(refusal), _) => refusal.response(),
             (CallReply::Outcome(outcome), None) => outcome.response(program, sequence),
@@ -98,12 +98,12 @@
         LocalAnswer::Response(response)
     }
 
-    /// Streams a running answer from an offset.
+    /// Streams the text of a running call from an offset.
     fn stream_text(&self, stream: &Arc<StreamBuffer>, offset: usize) -> OutgoingResponse {
         let (sender, events) = mpsc::channel(STREAM_QUEUE);
         let reader = stream.reader();
-        let cut = self.cut.clone();
-        tokio::spawn(async move { relay_text(reader, offset, sender, cut).await });
+        let abort = self.abort.clone();
+        tokio::spawn(async move { relay_text(reader, offset, sender, abort).await });
         OutgoingResponse::stream(200, "text/event-stream", events)
     }
 }
@@ -112,12 +112,12 @@
     reader: StreamReader,
     mut offset: usize,
     sender: mpsc::Sender<Bytes>,
-    cut: CancellationToken,
+    abort: CancellationToken,
 ) {
     loop {
         let read = tokio::select! {
             read = reader.read(offset) => read,
-            () = cut.cancelled() => StreamRead::Closed,
+            () = abort.cancelled() => StreamRead::Closed,
             () = sender.closed() => return,
         };
         let event = match read {
@@ -130,7 +130,7 @@
                 Bytes::from_static(b"event: restart\ndata: {}\n\n")
             }
             StreamRead::Finished(outcome) => {
-                // The reader is gone or gets the last event; either way this is the end.
+                // The stream ends here, whether or not the caller still reads it.
                 let _ = sender.send(last_event(&outcome)).await;
                 return;
             }
--- a/src/instance/dump.rs
+++ b/src/instance/dump.rs
@@ -1,4 +1,4 @@
-//! The dump: the whole state of the process as JSON.
+//! The dump: the complete state of the process as JSON.
 
 use std::sync::atomic::Ordering;
 use std::time::Instant;
@@ -13,7 +13,7 @@
 use crate::scheduler::QueueDump;
 use crate::shard::{CopyDump, VersionedMap};
 
-/// Another instance as this one sees it.
+/// State of another instance as seen by this one.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 struct PeerDump {
@@ -43,7 +43,7 @@
     forwarded: usize,
 }
 
-/// The whole state of the process.
+/// The complete state of the process.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct InstanceDump {
@@ -109,8 +109,8 @@
                 suspected: view.suspects(&peer.instance, now),
                 leaving: peer.leaving,
                 silent_ms: peer
-                    .heard
-                    .map(|heard| now.duration_since(heard).as_millis()),
+                    .last_response
+                    .map(|last_response| now.duration_since(last_response).as_millis()),
             })
             .collect();
         peers.sort_by(|one, other| one.instance.cmp(&other.instance));
--- a/src/instance/forward.rs
+++ b/src/instance/forward.rs
@@ -1,4 +1,4 @@
-//! The one hop of a request from the instance that a caller has reached to the shard's primary.
+//! Forwards requests, over one hop, from the instance that received them to the shard's primary.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -11,24 +11,26 @@
 use super::InstanceState;
 use super::callers::{CallerOperation, LocalAnswer, MOVED_EVENT};
 use crate::ids::{InstanceRef, ProgramId, ShardId, UpstreamName};
-use crate::link::{ForwardHead, ForwardedRequest, PeerAnswer, PeerReply, PeerRequest, ReplyStream};
+use crate::link::{
+    ForwardHead, ForwardedRequest, HandlerReply, PeerReply, PeerRequest, ReplyStream,
+};
 
-/// Status by which the second instance tells that it is not the primary.
-const STATUS_MOVED: u16 = 421;
+/// Status with which the receiving instance reports that it is not the primary.
+const STATUS_NOT_PRIMARY: u16 = 421;
 
-/// Time by which the wait for a forwarded answer exceeds the wait at the primary.
+/// Time by which the wait for a forwarded response exceeds the wait at the primary.
 const FORWARD_MARGIN: Duration = Duration::from_secs(5);
 
-/// Longest wait for a peer to take the word of a hold.
+/// Timeout of the notification of a hold to its program's primary.
 const HOLD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Chunks of a body that may wait for their reader.
+/// Capacity of the queue of chunks of one body.
 const BODY_QUEUE: usize = 64;
 
 impl InstanceState {
-    /// Sends a request to a shard's primary; `None` where that is not it, or can't be reached.
+    /// Sends a request to a shard's primary; returns `None` if that instance is not the primary or is unreachable.
     ///
-    /// Every request has a key, so that sending it again after a broken link is always right.
+    /// Every request has an idempotency key, so resending it after a broken link is always safe.
     pub(super) async fn forward(
         &self,
         shard: &ShardId,
@@ -38,13 +40,13 @@
         let wait = Duration::from_secs(self.settings.limits.wait_seconds) + FORWARD_MARGIN;
         self.forwarded_requests.fetch_add(1, Ordering::Relaxed);
         tokio::select! {
-            response = self.ask_primary(primary, request) => response,
+            response = self.send_to_primary(primary, request) => response,
             () = self.primary_changed(shard, primary) => None,
             () = tokio::time::sleep(wait) => None,
         }
     }
 
-    /// Waits until the map names another primary: the answer of this one will not come any more.
+    /// Waits until the map names another primary, after which this one sends no response any more.
     async fn primary_changed(&self, shard: &ShardId, primary: &InstanceRef) {
         let mut maps = self.maps.subscribe();
         loop {
@@ -58,7 +60,7 @@
         }
     }
 
-    async fn ask_primary(
+    async fn send_to_primary(
         &self,
         primary: &InstanceRef,
         request: ForwardedRequest,
@@ -75,11 +77,11 @@
         let Some(PeerReply::Forward(head)) = stream.take_head() else {
             return None;
         };
-        if head.status == STATUS_MOVED {
+        if head.status == STATUS_NOT_PRIMARY {
             return None;
         }
         if head.streamed {
-            return Some(streamed_response(head, stream, self.cut.clone()));
+            return Some(streamed_response(head, stream, self.abort.clone()));
         }
         let mut body = Vec::new();
         while let Some(chunk) = stream.next_chunk().await.ok()? {
@@ -92,13 +94,15 @@
         })
     }
 
-    /// Answers a forwarded request, as primary only.
-    pub(super) async fn serve_forwarded(&self, request: ForwardedRequest) -> PeerAnswer {
+    /// Serves a forwarded request if this instance is the primary; never forwards it again.
+    pub(super) async fn serve_forwarded(&self, request: ForwardedRequest) -> HandlerReply {
         let organisation = request.organisation.clone();
         let response = match CallerOperation::parse(&request) {
-            Ok(operation) => match self.answer_locally(&operation, &organisation).await {
+            Ok(operation) => match self.handle_locally(&operation, &organisation).await {
                 LocalAnswer::Response(response) => response,
-                LocalAnswer::NotPrimary => OutgoingResponse::full(STATUS_MOVED, "text/plain", ""),
+                LocalAnswer::NotPrimary => {
+                    OutgoingResponse::full(STATUS_NOT_PRIMARY, "text/plain", "")
+                }
             },
             Err(refusal) => refusal.response(),
         };
@@ -110,7 +114,7 @@
         match response.body {
             ResponseBody::Stream(chunks) => {
                 head.streamed = true;
-                PeerAnswer::Stream(PeerReply::Forward(head), chunks)
+                HandlerReply::Stream(PeerReply::Forward(head), chunks)
             }
             ResponseBody::Full(body) => {
                 let (sender, chunks) = mpsc::channel(1);
@@ -118,7 +122,7 @@
                     // The channel has room for the one chunk.
                     let _ = sender.try_send(body);
                 }
-                PeerAnswer::Stream(PeerReply::Forward(head), chunks)
+                HandlerReply::Stream(PeerReply::Forward(head), chunks)
             }
         }
     }
@@ -127,10 +131,10 @@
 fn streamed_response(
     head: ForwardHead,
     stream: ReplyStream,
-    cut: CancellationToken,
+    abort: CancellationToken,
 ) -> OutgoingResponse {
     let (sender, chunks) = mpsc::channel(BODY_QUEUE);
-    tokio::spawn(async move { relay_chunks(stream, sender, cut).await });
+    tokio::spawn(async move { relay_chunks(stream, sender, abort).await });
     OutgoingResponse {
         status: head.status,
         headers: head.headers,
@@ -138,17 +142,17 @@
     }
 }
 
-/// Hands on the events of a primary's stream, each of which is one chunk.
+/// Relays the events of a primary's stream; each event is one chunk.
 async fn relay_chunks(
     mut stream: ReplyStream,
     sender: mpsc::Sender<Bytes>,
-    cut: CancellationToken,
+    abort: CancellationToken,
 ) {
     loop {
         let chunk = tokio::select! {
             chunk = stream.next_chunk() => chunk,
             () = sender.closed() => return,
-            () = cut.cancelled() => break,
+            () = abort.cancelled() => break,
         };
         match chunk {
             Ok(Some(chunk)) => {
@@ -158,17 +162,17 @@
             }
             Ok(None) => return,
             Err(error) => {
-                log::info!("forwarded stream broke off error={error}");
+                log::info!("forwarded stream interrupted error={error}");
                 break;
             }
         }
     }
-    // Without this the end of the body would look like the end of the answer.
+    // Without this event, the caller would take the end of the body for the end of the response.
     let _ = sender.send(MOVED_EVENT).await;
 }
 
-/// Tells a program's primary that an engine lists a hold for it.
-pub fn pass_hold(
+/// Notifies a program's primary that an engine lists a hold for the program.
+pub fn forward_hold(
     state: &InstanceState,
     primary: &InstanceRef,
     program: ProgramId,
@@ -180,7 +184,7 @@
     let network = state.network.clone();
     tokio::spawn(async move {
         let request = PeerRequest::AuditHold(program, upstream);
-        // A lost word is told again with the next reading of the engine's holds.
+        // If the notification is lost, the next reading of the engine's holds sends it again.
         let _ = network.call(address, &request, HOLD_TIMEOUT).await;
     });
 }
--- a/src/instance/listeners.rs
+++ b/src/instance/listeners.rs
@@ -1,4 +1,4 @@
-//! The listeners of an instance, and its graceful shutdown.
+//! Listeners of an instance, and its graceful shutdown.
 
 use std::io;
 use std::net::TcpListener;
@@ -15,14 +15,14 @@
 
 use super::{Instance, InstanceState};
 
-/// Pause between two looks at whether a graceful shutdown is done.
+/// Pause between two checks whether a graceful shutdown is complete.
 const DRAIN_PAUSE: Duration = Duration::from_millis(50);
 
-/// Time for the requests on connections that were accepted last to be read.
+/// Time for reading the requests on the connections that were accepted last.
 const SETTLE_TIME: Duration = Duration::from_millis(100);
 
-/// Longest time for last answers to be written; who reads them more slowly than this gets them cut.
-const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest time for writing the last responses; a caller that reads more slowly gets a truncated response.
+const LAST_RESPONSES_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The open listeners of an instance.
 #[derive(Debug)]
@@ -33,36 +33,36 @@
 }
 
 impl InstanceListeners {
-    /// Closes everything at once, whatever is under way.
+    /// Closes all listeners at once and aborts the requests that are running.
     pub async fn abort(self) {
         join(self.callers.stop(false), self.operators.stop(false)).await;
     }
 
-    /// Closes everything after the last answer.
+    /// Closes all listeners after the last response.
     ///
-    /// The event loops are told to stop only once nothing is under way: they wait for no request
-    /// once they have been without connections at any time before.
+    /// The event loops get the stop signal only once no request is running: an event loop that had no
+    /// connections at any earlier time does not wait for its requests when it stops.
     async fn close(self, gate: &RequestGate) {
-        log::info!("listener for callers closes; accepting ends with an error of the system");
+        log::info!("closing the listener for callers; its accept loop ends with a system error");
         if let Err(error) = self.closer.close().await {
             log::warn!("listener not closed before its event loop error={error}");
         }
         sleep(SETTLE_TIME).await;
-        let answered = async {
+        let responded = async {
             while gate.under_way() > 0 {
                 sleep(DRAIN_PAUSE).await;
             }
         };
-        if timeout(LAST_ANSWERS_TIMEOUT, answered).await.is_err() {
+        if timeout(LAST_RESPONSES_TIMEOUT, responded).await.is_err() {
             let requests = gate.under_way();
-            log::warn!("last answers not taken by their callers requests={requests}");
+            log::warn!("callers did not read their last responses in time requests={requests}");
         }
         join(self.callers.stop(true), self.operators.stop(true)).await;
     }
 }
 
 impl Instance {
-    /// Starts the listeners for callers and operators; to be called inside a running system.
+    /// Starts the listeners for callers and operators; has to be called inside a running ntex system.
     ///
     /// # Errors
     ///
@@ -99,21 +99,21 @@
         })
     }
 
-    /// Answers a caller's request on the instance's own runtime.
+    /// Serves a caller's request on the instance's own runtime.
     ///
-    /// A caller that hangs up drops the task, and with it its interest in the answer.
+    /// The task is aborted when the caller closes the connection.
     async fn serve_caller(&self, request: IncomingRequest) -> OutgoingResponse {
         let state = self.state.clone();
         let task = self
             .runtime
             .spawn(async move { state.serve_caller(request).await });
-        let answer = tokio::select! {
-            answer = AbortOnDropHandle::new(task) => answer,
-            // The shutdown takes no longer: a last word now, before the process ends.
-            () = self.state.cut.cancelled() => return self.state.refuse_at_end(),
+        let response = tokio::select! {
+            response = AbortOnDropHandle::new(task) => response,
+            // The shutdown deadline has passed: the caller gets a refusal before the process ends.
+            () = self.state.abort.cancelled() => return self.state.refuse_at_deadline(),
         };
-        answer.unwrap_or_else(|error| {
-            log::error!("request not answered error={error}");
+        response.unwrap_or_else(|error| {
+            log::error!("request handler failed error={error}");
             OutgoingResponse::full(500, "text/plain", "the instance has failed; ask again")
         })
     }
@@ -132,11 +132,11 @@
         })
     }
 
-    /// Shuts down gracefully: shards are handed over, and every request gets an answer.
+    /// Shuts down gracefully: hands shards over and responds to every request.
     ///
-    /// Requests are served as before while balancers notice; those that come later are refused, so that the end is
-    /// reached however many callers stay. What is under way at the end of the settings' time gets a last word.
-    /// Returns whether everything was done within that time.
+    /// Requests are served as before while load balancers notice the shutdown. Later requests are refused, so the
+    /// shutdown completes however many callers stay connected. Requests that still run when the configured time
+    /// (`drain-seconds`) is over are refused. Returns whether everything completed within that time.
     pub async fn shut_down(&self, listeners: InstanceListeners) -> bool {
         let state = &self.state;
         let limit = Duration::from_secs(state.settings.limits.drain_seconds);
@@ -149,7 +149,7 @@
             let requests = state.gate.admitted();
             log::warn!("instance not drained in time requests={requests}");
         }
-        state.cut.cancel();
+        state.abort.cancel();
         listeners.close(&state.gate).await;
         drained
     }
@@ -166,7 +166,7 @@
     }
 
     fn is_drained(&self) -> bool {
-        // Late requests don't count: they are refused at once, and callers may send them for ever.
-        self.gate.admitted() == 0 && (self.own_primaries() == 0 || self.is_alone())
+        // Late requests don't count: they are refused at once, and callers may send them indefinitely.
+        self.gate.admitted() == 0 && (self.own_primaries() == 0 || self.is_only_live_instance())
     }
 }
--- a/src/instance/metrics.rs
+++ b/src/instance/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by OpenTelemetry, read by Prometheus.
+//! Metrics of an instance: collected with OpenTelemetry, exported in the Prometheus format.
 
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Weak};
@@ -17,10 +17,10 @@
     provider: SdkMeterProvider,
 }
 
-type Reading = fn(&InstanceState) -> u64;
+type MetricReader = fn(&InstanceState) -> u64;
 
-/// Counters: name, meaning, and where the value comes from.
-const COUNTERS: [(&str, &str, Reading); 15] = [
+/// Counters: name, description, and the function that reads the value.
+const COUNTERS: [(&str, &str, MetricReader); 15] = [
     (
         "samphiregrade_requests_served",
         "Requests of callers",
@@ -108,8 +108,8 @@
     ),
 ];
 
-/// Gauges: name, meaning, and where the value comes from.
-const GAUGES: [(&str, &str, Reading); 7] = [
+/// Gauges: name, description, and the function that reads the value.
+const GAUGES: [(&str, &str, MetricReader); 7] = [
     (
         "samphiregrade_configuration_revision",
         "Revision in force",
@@ -148,7 +148,7 @@
 ];
 
 impl MetricsExporter {
-    /// Makes an exporter that observes nothing yet.
+    /// Creates an exporter without instruments.
     pub fn new() -> Self {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -166,20 +166,24 @@
         Self { registry, provider }
     }
 
-    /// Begins to observe an instance.
+    /// Registers the counters and gauges of an instance.
     pub fn observe(&self, state: &Arc<InstanceState>) {
         let meter = self.provider.meter("samphiregrade");
-        for (name, meaning, reading) in COUNTERS {
-            let counter = meter.u64_observable_counter(name).with_description(meaning);
+        for (name, description, reading) in COUNTERS {
+            let counter = meter
+                .u64_observable_counter(name)
+                .with_description(description);
             counter.with_callback(observe(state, reading)).build();
         }
-        for (name, meaning, reading) in GAUGES {
-            let gauge = meter.u64_observable_gauge(name).with_description(meaning);
+        for (name, description, reading) in GAUGES {
+            let gauge = meter
+                .u64_observable_gauge(name)
+                .with_description(description);
             gauge.with_callback(observe(state, reading)).build();
         }
     }
 
-    /// Composes the response for Prometheus.
+    /// Composes the response to a Prometheus scrape.
     pub fn response(&self) -> OutgoingResponse {
         let encoder = TextEncoder::new();
         let mut body = Vec::new();
@@ -190,10 +194,10 @@
     }
 }
 
-/// Makes a callback that reads a value, as long as the instance exists.
+/// Creates a callback that reads a value as long as the instance exists.
 fn observe(
     state: &Arc<InstanceState>,
-    reading: Reading,
+    reading: MetricReader,
 ) -> impl Fn(&dyn AsyncInstrument<u64>) + Send + Sync + 'static {
     let state: Weak<InstanceState> = Arc::downgrade(state);
     move |observer| {
@@ -204,7 +208,7 @@
 }
 
 impl InstanceState {
-    /// Returns the shards of this primary that have fewer backups than wanted.
+    /// Returns the number of shards with this primary that have fewer backups than configured.
     fn unprotected_shards(&self) -> usize {
         let me = self.peers.view().me.clone();
         let wanted = self.settings.shards.local_backups + self.settings.shards.remote_backups;
--- a/src/instance/mod.rs
+++ b/src/instance/mod.rs
@@ -1,4 +1,4 @@
-//! An instance: everything it consists of, started and stopped together.
+//! An instance: the components of one process, started and stopped together.
 
 mod callers;
 mod dump;
@@ -38,17 +38,17 @@
 
 pub use listeners::InstanceListeners;
 use metrics::MetricsExporter;
-use news::NewsSource;
-use peers::PeerDesk;
-use records::RecordKeeper;
+use news::LocalProbeSource;
+use peers::RequestDispatcher;
+use records::RecordCache;
 use shards::ShardHost;
 
-/// Whole copies that an instance sends at the same time.
+/// Shard snapshots that an instance sends at the same time.
 const INSTALL_PERMITS: usize = 2;
 
-/// What an instance is started with.
+/// Everything needed to start an instance.
 pub struct InstanceParts {
-    /// Checked settings.
+    /// Validated settings.
     pub settings: Settings,
     /// Certificates of its links.
     pub identity: LinkIdentity,
@@ -71,7 +71,7 @@
     }
 }
 
-/// Why an instance can't start.
+/// Reason why an instance can't start.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The certificates or the peers' socket can't be used.
@@ -82,7 +82,7 @@
     Storage(#[from] StorageError),
 }
 
-/// What the parts of an instance share.
+/// State shared by the components of an instance.
 #[derive(Debug)]
 pub(crate) struct InstanceState {
     settings: Settings,
@@ -91,7 +91,7 @@
     key_value: KeyValueClient,
     maps: Arc<MapCache>,
     config: Arc<ArcSwap<ConfigView>>,
-    records: RecordKeeper,
+    records: RecordCache,
     shards: ShardHost,
     queue: Arc<CallQueue>,
     runner: UpstreamRunner,
@@ -102,12 +102,12 @@
     forwarded_requests: AtomicUsize,
     draining: AtomicBool,
     started: Instant,
-    /// Cancelled when a graceful shutdown takes no longer: callers get a last word.
-    cut: CancellationToken,
+    /// Cancelled at the deadline of a graceful shutdown: the requests that still run are refused.
+    abort: CancellationToken,
     stop: CancellationToken,
 }
 
-/// A running instance; cloning it gives another handle to the same one.
+/// Handle to a running instance; clones refer to the same instance.
 #[derive(Clone, Debug)]
 pub struct Instance {
     state: Arc<InstanceState>,
@@ -115,19 +115,18 @@
 }
 
 impl Instance {
-    /// Starts an instance; to be called inside a multi-threaded tokio runtime.
+    /// Starts an instance; has to be called inside a multi-threaded tokio runtime.
     ///
     /// # Errors
     ///
-    /// Returns [`StartError`] where the certificates, the peers' socket or the data folder can't be
-    /// used.
+    /// Returns [`StartError`] if the certificates, the peers' socket or the data folder can't be used.
     pub fn start(parts: InstanceParts) -> Result<Self, StartError> {
         let stop = CancellationToken::new();
         let runtime = Handle::current();
         let settings = parts.settings;
         let me = InstanceRef {
             name: settings.instance.name.clone(),
-            incarnation: start_number(),
+            incarnation: new_incarnation(),
         };
         let domain = settings.instance.failure_domain.clone();
         let membership = settings.membership.task_settings();
@@ -162,7 +161,7 @@
             stop: stop.clone(),
         });
         let state = Arc::new(InstanceState {
-            records: RecordKeeper::new(config.clone()),
+            records: RecordCache::new(config.clone()),
             shards: ShardHost::new(context),
             metrics: MetricsExporter::new(),
             gate: RequestGate::default(),
@@ -179,7 +178,7 @@
             config,
             queue,
             runner,
-            cut: CancellationToken::new(),
+            abort: CancellationToken::new(),
             stop,
         });
         let instance = Self { state, runtime };
@@ -192,16 +191,16 @@
         let state = &self.state;
         let stop = state.stop.clone();
         state.metrics.observe(state);
-        let desk = Arc::new(PeerDesk::new(state.clone()));
+        let dispatcher = Arc::new(RequestDispatcher::new(state.clone()));
         let network = state.network.clone();
         let serving = stop.clone();
-        tokio::spawn(async move { network.serve(desk, serving).await });
-        let news = Arc::new(NewsSource::new(state.clone()));
+        tokio::spawn(async move { network.serve(dispatcher, serving).await });
+        let probe_source = Arc::new(LocalProbeSource::new(state.clone()));
         tokio::spawn(run_membership(
             state.peers.clone(),
             list,
             state.network.clone(),
-            news,
+            probe_source,
             membership,
             stop.clone(),
         ));
@@ -227,12 +226,12 @@
         };
         tokio::spawn(run_orders(orders, state.stop.clone()));
         tokio::spawn(shards::audit_holds(state.clone(), found));
-        tokio::spawn(records::follow_platform(state.clone()));
+        tokio::spawn(records::follow_key_value(state.clone()));
         tokio::spawn(overseer::oversee_maps(state.clone()));
         tokio::spawn(shards::follow_maps(state.clone()));
     }
 
-    /// Returns whether the instance can serve programs of its own failure domain.
+    /// Returns whether the instance can serve programs of its own failure domain and is not draining.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.state.is_ready()
@@ -270,8 +269,8 @@
         shards.filter(|placement| placement.has_member(&me)).count()
     }
 
-    /// Returns whether no other instance of the failure domain answers.
-    fn is_alone(&self) -> bool {
+    /// Returns whether no other instance of the failure domain responds.
+    fn is_only_live_instance(&self) -> bool {
         let view = self.peers.view();
         view.live_in(&view.domain, Instant::now()).is_empty()
     }
@@ -293,8 +292,8 @@
     Ok((Some(store), copies.collect()))
 }
 
-/// Number of this process: later processes of the same instance have higher ones.
-fn start_number() -> u64 {
+/// Returns the incarnation number of this process; later processes of the same instance get higher numbers.
+fn new_incarnation() -> u64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
--- a/src/instance/news.rs
+++ b/src/instance/news.rs
@@ -1,4 +1,4 @@
-//! What this instance tells others with its probes, and what it does with their news.
+//! Composes this instance's probes and applies the probes of other instances.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,27 +9,27 @@
 
 use super::InstanceState;
 use crate::ids::InstanceRef;
-use crate::link::{GossipNews, PeerReply, PeerRequest, ProbeMessage};
+use crate::link::{GossipPayload, PeerReply, PeerRequest, ProbeMessage};
 use crate::membership::ProbeSource;
 
-/// Longest wait for records or a map from a peer.
+/// Timeout for reading records or a map from a peer.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Composes probes and takes news.
+/// Composes probes from the instance's state and applies received probes to it.
 #[derive(Debug)]
-pub struct NewsSource {
+pub struct LocalProbeSource {
     state: Arc<InstanceState>,
 }
 
-impl NewsSource {
-    /// Makes the source of an instance.
+impl LocalProbeSource {
+    /// Creates the source of an instance.
     pub fn new(state: Arc<InstanceState>) -> Self {
         Self { state }
     }
 }
 
 impl InstanceState {
-    /// Composes a probe, with the larger part of the news for few.
+    /// Composes a probe; with `gossip`, the probe includes the large payload that goes to few instances.
     pub(super) fn probe(&self, gossip: bool) -> ProbeMessage {
         let view = self.peers.view();
         ProbeMessage {
@@ -41,12 +41,12 @@
             primaries: u32::try_from(self.own_primaries()).unwrap_or(u32::MAX),
             has_disk: self.shards.has_disk(),
             shares: self.queue.shares(),
-            gossip: gossip.then(|| self.gossip_news()),
+            gossip: gossip.then(|| self.compose_gossip()),
         }
     }
 
-    fn gossip_news(&self) -> GossipNews {
-        GossipNews {
+    fn compose_gossip(&self) -> GossipPayload {
+        GossipPayload {
             map_revisions: self.maps.revisions(),
             reports: self.queue.report_news(&self.config.load()),
         }
@@ -69,8 +69,8 @@
         partners.into_iter().collect()
     }
 
-    /// Takes news: loads at once, newer records and maps by asking for them.
-    pub(super) async fn take_news(&self, probe: ProbeMessage) {
+    /// Applies a probe: accepts its load figures directly, and reads newer records and maps from its sender.
+    pub(super) async fn apply_probe(&self, probe: ProbeMessage) {
         let gossip = probe.gossip.unwrap_or_default();
         let now = Instant::now();
         self.queue.take_shares(&probe.from.name, &probe.shares, now);
@@ -80,8 +80,8 @@
         };
         if probe.config_revision > self.records.revision() {
             let request = PeerRequest::RecordsRead(self.records.revision());
-            let answer = self.network.call(address, &request, READ_TIMEOUT).await;
-            if let Ok(PeerReply::Records(delta)) = answer {
+            let reply = self.network.call(address, &request, READ_TIMEOUT).await;
+            if let Ok(PeerReply::Records(delta)) = reply {
                 self.records.merge(&delta);
             }
         }
@@ -100,7 +100,7 @@
     }
 }
 
-impl ProbeSource for NewsSource {
+impl ProbeSource for LocalProbeSource {
     fn compose(&self, gossip: bool) -> ProbeMessage {
         self.state.probe(gossip)
     }
@@ -109,7 +109,7 @@
         self.state.partners()
     }
 
-    fn take(&self, probe: ProbeMessage) -> BoxFuture<'_, ()> {
-        self.state.take_news(probe).boxed()
+    fn apply(&self, probe: ProbeMessage) -> BoxFuture<'_, ()> {
+        self.state.apply_probe(probe).boxed()
     }
 }
--- a/src/instance/operators.rs
+++ b/src/instance/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' interface: health, metrics and the dump of the process's state.
+//! The operators' interface: health, readiness, metrics and the dump of the process's state.
 
 use samphiregrade_http::{IncomingRequest, OutgoingResponse};
 use serde_json::json;
@@ -7,7 +7,7 @@
 use crate::contract::{Refusal, RefusalKind};
 
 impl InstanceState {
-    /// Answers an operator's request.
+    /// Serves an operator's request.
     pub(super) async fn serve_operator(&self, request: &IncomingRequest) -> OutgoingResponse {
         match request.path.as_str() {
             "/healthz" => OutgoingResponse::json(200, &json!({"status": "alive"})),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Checks the token of an operator; before any organisation of operators exists none is asked for.
+    /// Checks the token of an operator; no token is required as long as there is no organisation of operators.
     fn check_operator(&self, request: &IncomingRequest) -> Result<(), Refusal> {
         let config = self.config.load();
         if !config.has_operators() {
--- a/src/instance/overseer.rs
+++ b/src/instance/overseer.rs
@@ -1,4 +1,4 @@
-//! Looking after the shard map of the own failure domain: its first version, and lost shards.
+//! Maintains the shard map of the own failure domain: creates its first version and restarts lost shards.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -12,31 +12,31 @@
 use crate::link::{LinkError, PeerReply, PeerRequest};
 use crate::shard::{LogPosition, MapChange, ShardPlacement, VersionedMap, initial_map, map_key};
 
-/// Time between two looks.
-const OVERSEE_INTERVAL: Duration = Duration::from_millis(400);
+/// Time between two checks of the map.
+const CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Longest wait for a peer to tell what is on its disk.
+/// Timeout for reading from a peer which copy of a shard its disk holds.
 const DISK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time after the start for the other instances of the failure domain to be found.
-const GATHER_TIME: Duration = Duration::from_millis(1500);
+/// Time after the start for discovering the other instances of the failure domain.
+const DISCOVERY_TIME: Duration = Duration::from_millis(1500);
 
-/// Makes the first map, and restarts shards without a copy, until the instance stops.
+/// Creates the first map, and restarts shards that have no copy left, until the instance stops.
 pub async fn oversee_maps(state: Arc<InstanceState>) {
-    let mut ticks = tokio::time::interval(OVERSEE_INTERVAL);
+    let mut ticks = tokio::time::interval(CHECK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             _ = ticks.tick() => {}
             () = state.stop.cancelled() => return,
         }
-        if state.is_draining() || !state.is_first() {
+        if state.is_draining() || !state.has_first_name() {
             continue;
         }
         let domain = &state.settings.instance.failure_domain;
         if state.maps.map(domain).is_none() {
-            if state.started.elapsed() >= GATHER_TIME {
-                make_first_map(&state).await;
+            if state.started.elapsed() >= DISCOVERY_TIME {
+                create_first_map(&state).await;
             }
             continue;
         }
@@ -45,15 +45,15 @@
 }
 
 impl InstanceState {
-    /// Returns whether this instance's name is the first among those of its failure domain.
-    fn is_first(&self) -> bool {
+    /// Returns whether this instance's name sorts before those of the other live instances of its failure domain.
+    fn has_first_name(&self) -> bool {
         let view = self.peers.view();
         let live = view.live_in(&view.domain, Instant::now());
         live.iter().all(|peer| peer.instance.name > view.me.name)
     }
 }
 
-async fn make_first_map(state: &InstanceState) {
+async fn create_first_map(state: &InstanceState) {
     let view = state.peers.view();
     let now = Instant::now();
     let mut local: Vec<InstanceRef> = vec![view.me.clone()];
@@ -64,7 +64,7 @@
     );
     let mut remote: Vec<InstanceRef> = view
         .peers()
-        .filter(|peer| peer.domain != view.domain && peer.heard.is_some() && !peer.leaving)
+        .filter(|peer| peer.domain != view.domain && peer.last_response.is_some() && !peer.leaving)
         .filter(|peer| !view.suspects(&peer.instance, now))
         .map(|peer| peer.instance.clone())
         .collect();
@@ -79,7 +79,7 @@
     match state.key_value.swap(&key, 0, Some(text)).await {
         Ok(SwapOutcome::Swapped(revision)) => {
             log::info!(
-                "shard map made domain={} shards={}",
+                "shard map created domain={} shards={}",
                 view.domain,
                 map.shards.len()
             );
@@ -92,11 +92,11 @@
             }
         }
         Ok(SwapOutcome::Conflict(None)) => {}
-        Err(error) => log::debug!("shard map not made error={error}"),
+        Err(error) => log::debug!("shard map not created error={error}"),
     }
 }
 
-/// Goes on with those shards all of whose processes have certainly ended: from a disk, or empty.
+/// Restarts the shards all of whose members have certainly ended: from a copy on disk, or empty if there is none.
 async fn restart_lost_shards(state: &InstanceState) {
     let view = state.peers.view();
     let Some(map) = state.maps.map(&view.domain) else {
@@ -113,7 +113,7 @@
         let change = match find_on_disk(state, &shard, placement).await {
             Ok(Some(holder)) => MapChange::Restore(holder),
             Ok(None) => {
-                log::error!("shard lost all copies and begins empty shard={shard}");
+                log::error!("shard lost all copies and restarts empty shard={shard}");
                 state
                     .shards
                     .counters()
@@ -121,7 +121,7 @@
                     .fetch_add(1, Ordering::Relaxed);
                 MapChange::Reset(view.me.clone())
             }
-            // A member that may have a disk has not answered yet.
+            // A member that may have a copy on disk has not replied yet.
             Err(error) => {
                 log::info!("shard not restarted shard={shard} error={error}");
                 continue;
@@ -133,9 +133,9 @@
     }
 }
 
-/// Finds the instance whose disk has the shard's copy: one of the own failure domain before others.
+/// Finds the instance whose disk has the shard's copy; prefers the instance's own failure domain to others.
 ///
-/// Another domain's disk may lack what was stored while the own domain was cut off.
+/// The disk of another domain may lack entries that were stored while the own domain was partitioned.
 async fn find_on_disk(
     state: &InstanceState,
     shard: &ShardId,
--- a/src/instance/peers.rs
+++ b/src/instance/peers.rs
@@ -1,4 +1,4 @@
-//! Answers the requests of other instances.
+//! Handles the requests of other instances.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -8,22 +8,22 @@
 use tokio::sync::oneshot;
 
 use super::InstanceState;
-use crate::link::{PeerAnswer, PeerHandler, PeerReply, PeerRequest, ProbeMessage};
+use crate::link::{HandlerReply, PeerHandler, PeerReply, PeerRequest, ProbeMessage};
 use crate::shard::{AppendReply, AppendRequest, InstallRequest, ShardCommand};
 
-/// Answers the requests of other instances.
+/// Dispatches the requests of other instances to the components that handle them.
 #[derive(Debug)]
-pub struct PeerDesk {
+pub struct RequestDispatcher {
     state: Arc<InstanceState>,
 }
 
-impl PeerDesk {
-    /// Makes the desk of an instance.
+impl RequestDispatcher {
+    /// Creates the dispatcher of an instance.
     pub fn new(state: Arc<InstanceState>) -> Self {
         Self { state }
     }
 
-    async fn answer(&self, request: PeerRequest) -> PeerAnswer {
+    async fn dispatch(&self, request: PeerRequest) -> HandlerReply {
         let state = &self.state;
         let reply = match request {
             PeerRequest::Probe(probe) => self.probe(probe),
@@ -46,7 +46,7 @@
                 PeerReply::Records(state.records.changes_since(revision))
             }
             PeerRequest::RecordsUpdate(delta) => {
-                state.take_records(&delta);
+                state.apply_pushed_records(&delta);
                 PeerReply::Done
             }
             PeerRequest::AuditHold(program, upstream) => {
@@ -55,15 +55,15 @@
             }
             PeerRequest::Forward(request) => return state.serve_forwarded(request).await,
         };
-        PeerAnswer::One(reply)
+        HandlerReply::One(reply)
     }
 
     fn probe(&self, probe: ProbeMessage) -> PeerReply {
         self.state.peers.merge_probe(&probe, Instant::now());
-        // News is exchanged both ways: who tells a lot is told a lot.
+        // Probes are exchanged both ways: a probe with a gossip payload gets a reply with one.
         let reply = self.state.probe(probe.gossip.is_some());
         let state = self.state.clone();
-        tokio::spawn(async move { state.take_news(probe).await });
+        tokio::spawn(async move { state.apply_probe(probe).await });
         PeerReply::Probe(reply)
     }
 
@@ -95,10 +95,10 @@
 }
 
 impl InstanceState {
-    /// Takes records that a peer has just learned of, where none before them are missing.
-    fn take_records(&self, delta: &crate::record::RecordDelta) {
-        // A push may come before an earlier one. Its revision counts only with all before it, so
-        // the changes are taken and the gap is filled with the next probe.
+    /// Applies records that a peer has just received and pushes to this instance.
+    fn apply_pushed_records(&self, delta: &crate::record::RecordDelta) {
+        // A push may arrive before an earlier one, and its revision is complete only with all changes
+        // before it. So the changes are applied, the revision stays, and the next probe fills the gap.
         let partial = crate::record::RecordDelta {
             changes: delta.changes.clone(),
             revision: self.records.revision(),
@@ -107,8 +107,8 @@
     }
 }
 
-impl PeerHandler for PeerDesk {
-    fn handle(&self, request: PeerRequest) -> BoxFuture<'_, PeerAnswer> {
-        self.answer(request).boxed()
+impl PeerHandler for RequestDispatcher {
+    fn handle(&self, request: PeerRequest) -> BoxFuture<'_, HandlerReply> {
+        self.dispatch(request).boxed()
     }
 }
--- a/src/instance/records.rs
+++ b/src/instance/records.rs
@@ -1,4 +1,4 @@
-//! Keeping the configuration: from the platform by a few instances, from peers by the others.
+//! Keeps the configuration up to date: a few instances watch the key-value service, the others read from peers.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -13,30 +13,30 @@
 use crate::record::{ConfigView, RECORD_PREFIX, RecordChange, RecordDelta, RecordStore};
 use crate::shard::{MAP_PREFIX, VersionedMap};
 
-/// Prefix of every key of the system.
+/// Prefix of all keys of samphiregrade in the key-value service.
 const KEY_PREFIX: &str = "samphiregrade/";
 
-/// Instances of a failure domain that watch the platform.
-const WATCHERS: usize = 2;
+/// Number of instances of a failure domain that watch the key-value service.
+const WATCHERS_PER_DOMAIN: usize = 2;
 
-/// Pause before a broken watch is begun anew.
+/// Pause before a broken watch is restarted.
 const WATCH_PAUSE: Duration = Duration::from_millis(500);
 
-/// Time between two looks at whether this instance is to watch.
-const DUTY_INTERVAL: Duration = Duration::from_secs(1);
+/// Time between two checks whether this instance has to watch the key-value service.
+const WATCHER_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Longest wait for a peer to take news.
+/// Timeout for pushing changed records to a peer.
 const PUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The records of an instance with the view that they add up to.
+/// The records known to an instance, with the configuration view built from them.
 #[derive(Debug)]
-pub struct RecordKeeper {
+pub struct RecordCache {
     store: Mutex<RecordStore>,
     view: Arc<ArcSwap<ConfigView>>,
 }
 
-impl RecordKeeper {
-    /// Starts without records.
+impl RecordCache {
+    /// Creates a cache without records.
     pub fn new(view: Arc<ArcSwap<ConfigView>>) -> Self {
         Self {
             store: Mutex::default(),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Returns the revision in force.
+    /// Returns the revision of the current configuration.
     pub fn revision(&self) -> RevisionNumber {
         self.view.load().revision()
     }
@@ -57,12 +57,12 @@
             .changes_since(revision)
     }
 
-    /// Takes changes; returns whether anything was new.
+    /// Merges changes; returns whether any was new.
     pub fn merge(&self, delta: &RecordDelta) -> bool {
         self.change(|store| store.merge(delta))
     }
 
-    /// Takes a whole reading of the platform; returns whether anything was new.
+    /// Merges a complete reading of the key-value service; returns whether anything was new.
     fn merge_reading(&self, reading: RecordDelta) -> bool {
         self.change(|store| store.merge_reading(reading))
     }
@@ -76,14 +76,14 @@
             return false;
         }
         let view = store.view();
-        log::debug!("configuration in force revision={}", view.revision());
+        log::debug!("configuration updated revision={}", view.revision());
         self.view.store(Arc::new(view));
         true
     }
 }
 
-/// Watches the platform while it is this instance's turn.
-pub async fn follow_platform(state: Arc<InstanceState>) {
+/// Watches the key-value service while this instance is one of the watchers.
+pub async fn follow_key_value(state: Arc<InstanceState>) {
     loop {
         let watching = async {
             if state.is_watcher() {
@@ -92,7 +92,7 @@
                 }
                 tokio::time::sleep(WATCH_PAUSE).await;
             } else {
-                tokio::time::sleep(DUTY_INTERVAL).await;
+                tokio::time::sleep(WATCHER_CHECK_INTERVAL).await;
             }
         };
         tokio::select! {
@@ -103,16 +103,16 @@
 }
 
 impl InstanceState {
-    /// Returns whether this instance is among the first of its failure domain that answer.
+    /// Returns whether this instance is among the first live instances of its failure domain, by name.
     fn is_watcher(&self) -> bool {
         let view = self.peers.view();
         let live = view.live_in(&view.domain, Instant::now());
         let before = live.iter().filter(|peer| peer.instance.name < view.me.name);
-        before.count() < WATCHERS
+        before.count() < WATCHERS_PER_DOMAIN
     }
 
-    /// Takes a whole reading of the system's keys.
-    fn take_reading(&self, reading: &RangeReading) {
+    /// Applies a complete reading of samphiregrade's keys.
+    fn apply_reading(&self, reading: &RangeReading) {
         let mut delta = RecordDelta {
             changes: Vec::new(),
             revision: reading.revision,
@@ -123,13 +123,13 @@
                 value: Some(entry.value.clone()),
                 revision: entry.revision,
             };
-            self.sort_change(change, &mut delta);
+            self.route_change(change, &mut delta);
         }
         self.records.merge_reading(delta);
     }
 
-    /// Takes a map at once, and puts a record's change with the others.
-    fn sort_change(&self, change: KeyChange, delta: &mut RecordDelta) {
+    /// Adopts a changed map at once; adds the change of a record to the delta.
+    fn route_change(&self, change: KeyChange, delta: &mut RecordDelta) {
         if change.key.starts_with(RECORD_PREFIX) {
             delta.changes.push(RecordChange {
                 key: change.key,
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Sends news to the instances that share shards with this one.
+    /// Sends a request to the instances that share shards with this one.
     pub(super) fn push_to_partners(&self, request: &PeerRequest) {
         let view = self.peers.view();
         for partner in self.partners() {
@@ -160,18 +160,18 @@
             let network = self.network.clone();
             let request = request.clone();
             tokio::spawn(async move {
-                // Whoever misses the news learns of it with the next probe.
+                // A peer that misses the push gets the change after the next probe.
                 let _ = network.call(address, &request, PUSH_TIMEOUT).await;
             });
         }
     }
 }
 
-/// Reads everything, then follows the changes until the watch breaks.
+/// Reads all keys, then applies changes until the watch breaks or this instance is no longer a watcher.
 async fn watch_once(state: &InstanceState) -> Result<(), KeyValueError> {
     let range = KeyRange::Prefix(KEY_PREFIX.into());
     let reading = state.key_value.read(range.clone()).await?;
-    state.take_reading(&reading);
+    state.apply_reading(&reading);
     let mut changes = state.key_value.watch(range, reading.revision + 1).await?;
     while let Some(delta) = next_changes(state, &mut changes).await {
         if state.records.merge(&delta) && !delta.changes.is_empty() {
@@ -184,7 +184,7 @@
     Ok(())
 }
 
-/// Waits for a change and takes those that came with it.
+/// Waits for a change and collects those that are queued behind it.
 async fn next_changes(
     state: &InstanceState,
     changes: &mut mpsc::Receiver<KeyChange>,
@@ -194,7 +194,7 @@
     let mut next = Some(first);
     while let Some(change) = next {
         delta.revision = delta.revision.max(change.revision);
-        state.sort_change(change, &mut delta);
+        state.route_change(change, &mut delta);
         next = changes.try_recv().ok();
     }
     Some(delta)
--- a/src/instance/shards.rs
+++ b/src/instance/shards.rs
@@ -1,4 +1,4 @@
-//! The copies of shards that this instance holds.
+//! The shard copies that this instance holds.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,7 +12,7 @@
 
 type CopySenders = HashMap<ShardId, mpsc::Sender<ShardCommand>>;
 
-/// The tasks of this instance's copies.
+/// Starts the tasks of this instance's shard copies and sends them commands.
 #[derive(Debug)]
 pub struct ShardHost {
     context: Arc<ShardContext>,
@@ -21,7 +21,7 @@
 }
 
 impl ShardHost {
-    /// Starts without copies.
+    /// Creates a host without copies.
     #[must_use]
     pub fn new(context: Arc<ShardContext>) -> Self {
         Self {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Returns whether copies are kept on a disk.
+    /// Returns whether copies are stored on a disk that has not failed.
     pub fn has_disk(&self) -> bool {
         self.context
             .store
@@ -39,7 +39,7 @@
             .is_some_and(|store| !store.has_failed())
     }
 
-    /// Returns how far a shard's copy reaches that was found on the disk.
+    /// Returns the last position of the copy of a shard that was found on disk at the start.
     pub fn recovered(&self, shard: &ShardId) -> Option<LogPosition> {
         self.context
             .recovered_position(shard)
@@ -51,7 +51,7 @@
         &self.context.counters
     }
 
-    /// Returns where the commands of a shard's copy go, with the task started if need be.
+    /// Returns the command channel of a shard's copy; starts the copy's task if it is not running.
     pub fn copy(&self, shard: &ShardId) -> mpsc::Sender<ShardCommand> {
         if let Some(sender) = self.copies.load().get(shard) {
             return sender.clone();
@@ -68,8 +68,8 @@
         sender
     }
 
-    /// Starts the tasks of the copies that the maps give to this instance.
-    fn start_listed(&self, me: &InstanceRef) {
+    /// Starts the tasks of the copies that the maps assign to this instance.
+    fn start_assigned(&self, me: &InstanceRef) {
         for map in self.context.maps.all() {
             for (index, placement) in map.map.shards.iter().enumerate() {
                 if !placement.has_member(me) {
@@ -84,15 +84,15 @@
         }
     }
 
-    /// Tells every copy that the instance is stopping.
+    /// Notifies every copy that the instance is draining.
     pub async fn drain(&self) {
         for sender in self.copies.load().values() {
-            // A task that is gone has nothing to hand over.
+            // A task that has ended has nothing to hand over.
             let _ = sender.send(ShardCommand::Drain).await;
         }
     }
 
-    /// Returns the state of every copy.
+    /// Returns the state of every copy that replies in time.
     pub async fn dump(&self) -> Vec<CopyDump> {
         let copies = self.copies.load_full();
         let mut dumps = Vec::new();
@@ -111,12 +111,12 @@
     }
 }
 
-/// Starts the tasks of copies as maps give them to this instance.
+/// Starts the tasks of copies whenever the maps assign new ones to this instance.
 pub async fn follow_maps(state: Arc<InstanceState>) {
     let mut maps = state.maps.subscribe();
     let me = state.peers.view().me.clone();
     loop {
-        state.shards.start_listed(&me);
+        state.shards.start_assigned(&me);
         tokio::select! {
             changed = maps.changed() => if changed.is_err() { return },
             () = state.stop.cancelled() => return,
@@ -124,7 +124,7 @@
     }
 }
 
-/// Has the holds that engines list checked by the primaries that this instance has.
+/// Sends each hold that an engine lists to the primary of its program to be checked.
 pub async fn audit_holds(
     state: Arc<InstanceState>,
     mut found: mpsc::Receiver<(ProgramId, UpstreamName)>,
@@ -138,12 +138,12 @@
             continue;
         };
         if placement.primary != me {
-            // Its primary is another instance's; that one is told by the holder of the duty there.
-            super::forward::pass_hold(&state, &placement.primary, program, upstream);
+            // The shard's primary is on another instance, which gets a notification.
+            super::forward::forward_hold(&state, &placement.primary, program, upstream);
             continue;
         }
         let command = ShardCommand::AuditHold(program, upstream);
-        // A full inbox is tried again at the next reading.
+        // If the inbox is full, the next reading of the engine's holds sends the hold again.
         let _ = state.shards.copy(&shard).try_send(command);
     }
 }
--- a/src/keyvalue/client.rs
+++ b/src/keyvalue/client.rs
@@ -1,4 +1,4 @@
-//! The client that the rest of the system uses: limits, read-back after lost replies, statistics.
+//! The client of the key-value service: limits its call rate, resolves lost replies and counts calls.
 
 use std::fmt;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -14,18 +14,18 @@
 };
 use crate::ids::RevisionNumber;
 
-/// Tries of a swap whose reply was lost, before the caller has to live with the doubt.
+/// Attempts of a swap whose reply was lost, before the caller gets [`KeyValueError::NoAnswer`].
 const SWAP_TRIES: usize = 6;
 
-/// Pause between two tries.
+/// Pause between two attempts.
 const SWAP_PAUSE: Duration = Duration::from_millis(100);
 
-/// How many calls one instance allows itself.
+/// Rate limit of one instance's calls of the key-value service.
 #[derive(Clone, Copy, Debug)]
 pub struct KeyValueLimits {
-    /// Calls a second in the long run.
+    /// Sustained rate in calls per second.
     pub calls_per_second: f64,
-    /// Calls at once after a quiet time.
+    /// Calls that can be made at once after a period without calls.
     pub burst: f64,
 }
 
@@ -41,20 +41,20 @@
 #[derive(Debug)]
 struct TokenBucket {
     level: f64,
-    filled: Instant,
+    refilled: Instant,
 }
 
-/// Calls counted since the start.
+/// Counters of calls since the start.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct KeyValueStats {
-    /// Calls made.
+    /// Calls sent.
     pub calls: u64,
-    /// Calls without an answer.
+    /// Calls without a response.
     pub failures: u64,
-    /// Calls held back by the own limit.
+    /// Calls rejected by the instance's own rate limit.
     pub held_back: u64,
-    /// Whether the last call was answered.
+    /// Whether the last call got a response.
     pub reachable: bool,
 }
 
@@ -68,7 +68,7 @@
     reachable: AtomicBool,
 }
 
-/// The client; cloning it is cheap.
+/// Client of the key-value service; cheap to clone.
 #[derive(Clone)]
 pub struct KeyValueClient {
     inner: Arc<ClientInner>,
@@ -84,12 +84,12 @@
 }
 
 impl KeyValueClient {
-    /// Makes a client on a store.
+    /// Creates a client of a store.
     #[must_use]
     pub fn new(store: Arc<dyn KeyValueStore>, limits: KeyValueLimits) -> Self {
         let bucket = TokenBucket {
             level: limits.burst,
-            filled: Instant::now(),
+            refilled: Instant::now(),
         };
         let inner = ClientInner {
             store,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Returns the calls counted so far.
+    /// Returns the counters of calls.
     #[must_use]
     pub fn stats(&self) -> KeyValueStats {
         KeyValueStats {
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Returns whether the last call was answered.
+    /// Returns whether the last call got a response.
     #[must_use]
     pub fn is_reachable(&self) -> bool {
         self.inner.reachable.load(Ordering::Relaxed)
@@ -126,10 +126,10 @@
     ///
     /// # Errors
     ///
-    /// Returns why there was no answer; reading again is always right.
+    /// Returns the reason why there is no response; a read can always be repeated.
     pub async fn read(&self, range: KeyRange) -> Result<RangeReading, KeyValueError> {
         self.take_token()?;
-        self.note(self.inner.store.read(range).await)
+        self.record_outcome(self.inner.store.read(range).await)
     }
 
     /// Reads one key.
@@ -142,16 +142,16 @@
         Ok(reading.entries.into_iter().next())
     }
 
-    /// Stores a value where the key's last change is `expected`, and settles a lost reply.
+    /// Stores a value if the key's revision is `expected`, and finds out whether a swap without reply took effect.
     ///
-    /// After a lost reply the same swap is sent again: either it takes effect now, and the first one
-    /// never can any more, or the first one's value is found. The value has to be unique for that, by
-    /// an attempt id for instance.
+    /// After a lost reply the same swap is sent again. Either it takes effect now, which prevents the first one
+    /// from ever taking effect, or the value of the first one is found. This requires a unique value, for
+    /// instance one that contains an attempt id.
     ///
     /// # Errors
     ///
-    /// Returns [`KeyValueError::NoAnswer`] only where no try brought an answer; the swap may then
-    /// have taken effect, or may still do so.
+    /// Returns [`KeyValueError::NoAnswer`] only if a reply was lost and no later attempt got one; the swap may
+    /// then have taken effect, or may still do so.
     pub async fn swap(
         &self,
         key: &SmolStr,
@@ -159,48 +159,48 @@
         value: Option<String>,
     ) -> Result<SwapOutcome, KeyValueError> {
         self.take_token()?;
-        let mut doubt = None;
+        let mut lost_reply = None;
         for _ in 0..SWAP_TRIES {
-            let answer = self
+            let reply = self
                 .inner
                 .store
                 .swap(key.clone(), expected, value.clone())
                 .await;
-            match (self.note(answer), &doubt) {
+            match (self.record_outcome(reply), &lost_reply) {
                 (Ok(SwapOutcome::Conflict(Some(entry))), Some(_))
                     if Some(&entry.value) == value.as_ref() =>
                 {
                     return Ok(SwapOutcome::Swapped(entry.revision));
                 }
                 (Ok(outcome), _) => return Ok(outcome),
-                (Err(error @ KeyValueError::NoAnswer(_)), _) => doubt = Some(error),
+                (Err(error @ KeyValueError::NoAnswer(_)), _) => lost_reply = Some(error),
                 (Err(error), None) => return Err(error),
                 (Err(_), Some(_)) => {}
             }
             tokio::time::sleep(SWAP_PAUSE).await;
         }
-        Err(doubt.unwrap_or(KeyValueError::Limited))
+        Err(lost_reply.unwrap_or(KeyValueError::Limited))
     }
 
     /// Watches a range from a revision on.
     ///
     /// # Errors
     ///
-    /// Returns why the watch could not begin.
+    /// Returns the reason why the watch could not be started.
     pub async fn watch(
         &self,
         range: KeyRange,
         from: RevisionNumber,
     ) -> Result<mpsc::Receiver<KeyChange>, KeyValueError> {
         self.take_token()?;
-        self.note(self.inner.store.watch(range, from).await)
+        self.record_outcome(self.inner.store.watch(range, from).await)
     }
 
-    /// Takes or renews a lease; returns whether this holder has it.
+    /// Acquires or renews a lease; returns whether this holder has it.
     ///
     /// # Errors
     ///
-    /// Returns why there was no answer; the lease must be counted as lost then.
+    /// Returns the reason why there is no response; the caller then has to treat the lease as lost.
     pub async fn hold_lease(
         &self,
         key: SmolStr,
@@ -208,7 +208,7 @@
         time: Duration,
     ) -> Result<bool, KeyValueError> {
         self.take_token()?;
-        self.note(self.inner.store.hold_lease(key, holder, time).await)
+        self.record_outcome(self.inner.store.hold_lease(key, holder, time).await)
     }
 
     fn take_token(&self) -> Result<(), KeyValueError> {
@@ -218,10 +218,10 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
-        let gained = now.duration_since(bucket.filled).as_secs_f64();
+        let gained = now.duration_since(bucket.refilled).as_secs_f64();
         let level = bucket.level + gained * self.inner.limits.calls_per_second;
         bucket.level = level.min(self.inner.limits.burst);
-        bucket.filled = now;
+        bucket.refilled = now;
         if bucket.level < 1.0 {
             self.inner.held_back.fetch_add(1, Ordering::Relaxed);
             return Err(KeyValueError::Limited);
@@ -231,9 +231,12 @@
         Ok(())
     }
 
-    fn note<Answer>(&self, answer: Result<Answer, KeyValueError>) -> Result<Answer, KeyValueError> {
+    fn record_outcome<Reply>(
+        &self,
+        reply: Result<Reply, KeyValueError>,
+    ) -> Result<Reply, KeyValueError> {
         let reachable = !matches!(
-            answer,
+            reply,
             Err(KeyValueError::Unreachable(_) | KeyValueError::NoAnswer(_))
         );
         if !reachable {
@@ -243,6 +246,6 @@
         if before != reachable {
             log::info!("key-value service reachable={reachable}");
         }
-        answer
+        reply
     }
 }
--- a/src/keyvalue/etcd.rs
+++ b/src/keyvalue/etcd.rs
@@ -1,4 +1,4 @@
-//! An adapter for the JSON gateway of etcd's version 3 protocol, over HTTP.
+//! Adapter for the JSON gateway of etcd's v3 API, over HTTP.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,16 +19,16 @@
 };
 use crate::ids::RevisionNumber;
 
-/// Longest wait for an answer.
+/// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest silence of a watch before it is begun anew.
-const WATCH_SILENCE: Duration = Duration::from_mins(10);
+/// Longest time without data on a watch before the watch ends and has to be restarted.
+const WATCH_TIMEOUT: Duration = Duration::from_mins(10);
 
-/// Changes that may wait for their reader.
+/// Capacity of the queue of changes of one watch.
 const WATCH_QUEUE: usize = 256;
 
-/// The adapter; cloning it is cheap.
+/// The adapter; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct EtcdGateway {
     base: SmolStr,
@@ -82,7 +82,7 @@
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-struct LeaseKeptReply {
+struct KeepAliveReply {
     result: LeaseReply,
 }
 
@@ -115,7 +115,7 @@
     String::from_utf8(STANDARD.decode(text).ok()?).ok()
 }
 
-fn number(text: &str) -> u64 {
+fn parse_number(text: &str) -> u64 {
     text.parse().unwrap_or(0)
 }
 
@@ -124,7 +124,7 @@
         Some(KeyEntry {
             key: decode(&self.key)?.into(),
             value: decode(&self.value)?,
-            revision: number(&self.mod_revision),
+            revision: parse_number(&self.mod_revision),
         })
     }
 }
@@ -137,13 +137,13 @@
                 .into_iter()
                 .filter_map(GatewayEntry::into_entry)
                 .collect(),
-            revision: number(&self.header.revision),
+            revision: parse_number(&self.header.revision),
         }
     }
 }
 
 impl KeyRange {
-    /// Composes the fields of a range as the gateway takes them.
+    /// Composes the fields of a range in the format of the gateway.
     fn fields(&self) -> Value {
         match self {
             Self::Single(key) => json!({"key": encode(key)}),
@@ -159,7 +159,7 @@
 }
 
 impl EtcdGateway {
-    /// Makes an adapter for a gateway's base URL.
+    /// Creates an adapter for a gateway's base URL.
     #[must_use]
     pub fn new(base: &str, pool: HttpPool) -> Self {
         Self {
@@ -174,7 +174,10 @@
         Reply: DeserializeOwned,
     {
         let mut response = self.open(path, body, CALL_TIMEOUT).await?;
-        response.read_json().await.map_err(|error| failure(&error))
+        response
+            .read_json()
+            .await
+            .map_err(|error| call_error(&error))
     }
 
     async fn open(
@@ -189,7 +192,7 @@
             .pool
             .send(request)
             .await
-            .map_err(|error| failure(&error))?;
+            .map_err(|error| call_error(&error))?;
         match response.status {
             200 => Ok(response),
             429 => Err(KeyValueError::Limited),
@@ -219,7 +222,7 @@
         });
         let reply: TxnReply = self.call("/v3/kv/txn", &body).await?;
         if reply.succeeded {
-            return Ok(SwapOutcome::Swapped(number(&reply.header.revision)));
+            return Ok(SwapOutcome::Swapped(parse_number(&reply.header.revision)));
         }
         let found = reply
             .responses
@@ -229,19 +232,19 @@
         Ok(SwapOutcome::Conflict(found))
     }
 
-    /// Returns a lease that is alive for the time, granted anew where the last has lapsed.
-    async fn live_lease(&self, time: Duration) -> Result<u64, KeyValueError> {
+    /// Renews the lease, or has a new one granted if the last one has expired; returns its id.
+    async fn renew_lease(&self, time: Duration) -> Result<u64, KeyValueError> {
         let mut lease = self.lease.lock().await;
         if let Some(id) = *lease {
             let body = json!({"ID": id.to_string()});
-            let kept: LeaseKeptReply = self.call("/v3/lease/keepalive", &body).await?;
-            if number(&kept.result.ttl) > 0 {
+            let kept: KeepAliveReply = self.call("/v3/lease/keepalive", &body).await?;
+            if parse_number(&kept.result.ttl) > 0 {
                 return Ok(id);
             }
         }
         let body = json!({"TTL": time.as_secs().max(1).to_string()});
         let granted: LeaseReply = self.call("/v3/lease/grant", &body).await?;
-        let id = number(&granted.id);
+        let id = parse_number(&granted.id);
         *lease = Some(id);
         Ok(id)
     }
@@ -252,7 +255,7 @@
         holder: SmolStr,
         time: Duration,
     ) -> Result<bool, KeyValueError> {
-        let lease = self.live_lease(time).await?;
+        let lease = self.renew_lease(time).await?;
         match self
             .swap_now(key, 0, Some(holder.to_string()), lease)
             .await?
@@ -270,7 +273,7 @@
         let mut fields = range.fields();
         fields["start_revision"] = Value::from(from.to_string());
         let body = json!({"create_request": fields});
-        let response = self.open("/v3/watch", &body, WATCH_SILENCE).await?;
+        let response = self.open("/v3/watch", &body, WATCH_TIMEOUT).await?;
         let (sender, receiver) = mpsc::channel(WATCH_QUEUE);
         tokio::spawn(relay_watch(response, sender));
         Ok(receiver)
@@ -318,7 +321,7 @@
     }
 }
 
-fn failure(error: &HttpError) -> KeyValueError {
+fn call_error(error: &HttpError) -> KeyValueError {
     if error.not_sent() {
         return KeyValueError::Unreachable(error.to_smolstr());
     }
--- a/src/keyvalue/instances.rs
+++ b/src/keyvalue/instances.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of instances.
+//! The list of instances, which may lag behind the instances that are running.
 
 use std::net::SocketAddr;
 
@@ -9,27 +9,27 @@
 use super::KeyValueError;
 use crate::ids::{DomainId, InstanceName};
 
-/// One instance as the list names it.
+/// An instance in the list.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ListedInstance {
     /// Name of the instance.
     pub name: InstanceName,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub failure_domain: DomainId,
-    /// Address of its peer listener.
+    /// Address of the instance's peer listener.
     pub peer_address: SocketAddr,
-    /// Whether it is leaving.
+    /// Whether the instance is leaving.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// Where the list comes from.
+/// Source of the instance list.
 #[derive(Clone, Debug)]
 pub enum InstanceList {
     /// A fixed list, from the settings.
     Fixed(Vec<ListedInstance>),
-    /// A URL that answers with a JSON array.
+    /// A URL that returns a JSON array.
     Url(SmolStr, HttpPool),
 }
 
@@ -38,14 +38,14 @@
     ///
     /// # Errors
     ///
-    /// Returns why the list could not be read; the last one stays in use.
+    /// Returns the reason why the list could not be read; callers continue to use the last list.
     pub async fn read(&self) -> Result<Vec<ListedInstance>, KeyValueError> {
         match self {
             Self::Fixed(instances) => Ok(instances.clone()),
             Self::Url(url, pool) => {
-                let answer = pool.fetch_json(OutgoingRequest::get(url)).await;
+                let response = pool.fetch_json(OutgoingRequest::get(url)).await;
                 let (_, instances) =
-                    answer.map_err(|error| KeyValueError::Unreachable(error.to_smolstr()))?;
+                    response.map_err(|error| KeyValueError::Unreachable(error.to_smolstr()))?;
                 Ok(instances)
             }
         }
--- a/src/keyvalue/memory.rs
+++ b/src/keyvalue/memory.rs
@@ -1,4 +1,4 @@
-//! A key-value service within the process, for the demo and for tests.
+//! An in-process key-value service, for the demo and for tests.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -14,7 +14,7 @@
 };
 use crate::ids::RevisionNumber;
 
-/// Changes that a slow watcher may leave unread before its watch is cut.
+/// Changes that a slow watcher may leave unread before its watch is ended.
 const WATCH_QUEUE: usize = 1024;
 
 #[derive(Debug, Default)]
@@ -25,7 +25,7 @@
     history: Vec<KeyChange>,
 }
 
-/// A key-value service within the process.
+/// An in-process key-value service.
 #[derive(Debug)]
 pub struct MemoryStore {
     state: Mutex<MemoryState>,
@@ -42,7 +42,7 @@
 }
 
 impl KeyRange {
-    /// Returns whether the range holds the key.
+    /// Returns whether the range contains the key.
     #[must_use]
     pub fn covers(&self, key: &str) -> bool {
         match self {
@@ -84,7 +84,7 @@
             revision,
         };
         state.history.push(change.clone());
-        // Without watchers there is nobody to tell.
+        // Sending fails only if there are no watchers.
         let _ = self.changes.send(change);
         SwapOutcome::Swapped(revision)
     }
@@ -141,14 +141,14 @@
     fn hold_now(&self, key: SmolStr, holder: SmolStr, time: Duration) -> bool {
         let now = Instant::now();
         let mut state = self.state();
-        let taken = state
+        let is_taken = state
             .leases
             .get(&key)
             .is_some_and(|(other, expires)| *other != holder && *expires > now);
-        if !taken {
+        if !is_taken {
             state.leases.insert(key, (holder, now + time));
         }
-        !taken
+        !is_taken
     }
 }
 
--- a/src/keyvalue/mod.rs
+++ b/src/keyvalue/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service and instance list, behind one trait.
+//! Access to the key-value service, behind one trait, and to the instance list.
 
 mod client;
 mod etcd;
@@ -18,17 +18,17 @@
 pub use instances::{InstanceList, ListedInstance};
 pub use memory::MemoryStore;
 
-/// Why a call of the platform brought no answer.
+/// Reason why a call of the key-value service got no result.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum KeyValueError {
-    /// The call certainly had no effect.
+    /// The call was not sent or was rejected, and has had no effect.
     #[error("the key-value service can't be reached: {0}; the call is retried later")]
     Unreachable(SmolStr),
-    /// The call may have had its effect.
-    #[error("the key-value service gave no answer: {0}; the key is read back before a retry")]
+    /// The call was sent and may have taken effect.
+    #[error("the key-value service did not respond: {0}; the key is read back before a retry")]
     NoAnswer(SmolStr),
-    /// The service or the own limit has refused the call.
-    #[error("the rate of the key-value service is used up; the call is retried later")]
+    /// The service or the instance's own rate limit rejected the call.
+    #[error("the rate limit of the key-value service is exceeded; the call is retried later")]
     Limited,
 }
 
@@ -52,7 +52,7 @@
     pub revision: RevisionNumber,
 }
 
-/// What a read found.
+/// Result of a read.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct RangeReading {
     /// The keys with their values.
@@ -61,23 +61,23 @@
     pub revision: RevisionNumber,
 }
 
-/// One change that a watch tells.
+/// One change that a watch reports.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KeyChange {
     /// The key.
     pub key: SmolStr,
-    /// The new value; `None` where the key was removed.
+    /// The new value; `None` if the key was removed.
     pub value: Option<String>,
     /// Revision of the change.
     pub revision: RevisionNumber,
 }
 
-/// What a compare-and-swap did.
+/// Result of a compare-and-swap.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SwapOutcome {
-    /// The value is stored, at this revision.
+    /// The value was stored at this revision.
     Swapped(RevisionNumber),
-    /// The key had changed; this is its entry now, `None` where there is none.
+    /// The key's revision is not the expected one; carries its current entry, `None` if there is none.
     Conflict(Option<KeyEntry>),
 }
 
@@ -86,7 +86,7 @@
     /// Reads a range.
     fn read(&self, range: KeyRange) -> BoxFuture<'_, Result<RangeReading, KeyValueError>>;
 
-    /// Stores or removes a value where the key's last change is `expected`; 0 where there is none.
+    /// Stores or removes a value if the key's revision is `expected`; 0 stands for a key without a value.
     fn swap(
         &self,
         key: SmolStr,
@@ -101,9 +101,9 @@
         from: RevisionNumber,
     ) -> BoxFuture<'_, Result<mpsc::Receiver<KeyChange>, KeyValueError>>;
 
-    /// Stores a value that vanishes unless it is stored again within the time.
+    /// Stores a holder's name that expires unless it is stored again within the time.
     ///
-    /// Returns whether this holder has the key; another holder's value is left alone.
+    /// Returns whether this holder has the key; the value of another holder stays unchanged.
     fn hold_lease(
         &self,
         key: SmolStr,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,19 +1,19 @@
-//! A scheduler for agent programs: every accepted program finishes or is truthfully refused, no
-//! side effect happens twice, whole programs complete quickly, and engines' caches are not wasted.
+//! A scheduler for agent programs: every accepted program finishes or gets an accurate refusal, no side
+//! effect happens twice, programs complete quickly as a whole, and engines' caches are not wasted.
 //!
-//! A tour, from the outside to the inside:
+//! The modules, from the outside to the inside:
 //!
-//! * [`contract`] is what callers and the system promise each other.
+//! * [`contract`] defines the requests and responses of the callers' interface.
 //! * [`instance`] is one process: it listens for callers, operators and other instances.
-//! * [`record`] and [`keyvalue`] bring the operators' configuration from the key-value service.
-//! * [`shard`] keeps programs in several copies and decides which of them may answer.
-//! * [`storage`] keeps copies on the disks of the instances that have one.
-//! * [`program`] is the pure part of that: log entries, budgets and decisions.
-//! * [`scheduler`] orders and places calls; [`upstream`] carries them out.
+//! * [`record`] and [`keyvalue`] read the operators' configuration from the key-value service.
+//! * [`shard`] replicates programs and decides which copy may respond.
+//! * [`storage`] stores copies on the disks of the instances that have one.
+//! * [`program`] holds the logic of programs without I/O: log entries, budgets and decisions.
+//! * [`scheduler`] orders and places calls; [`upstream`] sends them.
 //! * [`membership`] and [`link`] connect the instances.
 //! * [`client`], [`workload`] and [`demo`] are the callers' side.
 //!
-//! The decisions are pure functions of a view and a time, so they can be tried without sockets:
+//! The decisions are pure functions of a view and a time, so they can be tested without sockets:
 //!
 //! ```
 //! use samphiregrade::program::BudgetAccount;
--- a/src/link/message.rs
+++ b/src/link/message.rs
@@ -14,20 +14,20 @@
     AppendReply, AppendRequest, InstallRequest, LogPosition, MapDelta, VersionedMap,
 };
 
-/// An upstream's own report of its load.
+/// Load of an upstream as the upstream reports it.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct LoadReport {
     /// Requests running.
     pub running: u32,
     /// Requests waiting inside the upstream.
     pub queued: u32,
-    /// Requests that can run at once.
+    /// Requests that can run concurrently.
     pub slots: u32,
     /// Tokens the cache can hold.
     pub cache_tokens: u64,
     /// Tokens of the cache that are in use.
     pub used_tokens: u64,
-    /// Tokens held for programs.
+    /// Tokens that the upstream holds for programs.
     pub held_tokens: u64,
     /// Whether the upstream is leaving.
     pub leaving: bool,
@@ -35,10 +35,10 @@
     pub models: Vec<SmolStr>,
 }
 
-/// Short name of an upstream in probes: the begin of a hash of its name.
+/// Short name of an upstream in probes: the first four bytes of a hash of its name.
 pub type UpstreamTag = u32;
 
-/// What the sender of a probe has under way at an upstream.
+/// Load at an upstream caused by the sender of a probe.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct UpstreamShare {
     /// The upstream.
@@ -49,12 +49,12 @@
     pub resident_tokens: u64,
 }
 
-/// An upstream's report that is news.
+/// An upstream's load report that one instance passes on to others.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ReportNews {
     /// The upstream.
     pub upstream: UpstreamName,
-    /// Its report.
+    /// The upstream's report.
     pub report: LoadReport,
     /// Age of the report.
     pub age: Duration,
@@ -68,39 +68,39 @@
     UpstreamTag::from_be_bytes([first, second, third, fourth])
 }
 
-/// The larger part of the news, which goes to few instances in each round.
+/// The large part of a probe, which goes to few instances in each round.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct GossipNews {
+pub struct GossipPayload {
     /// Revisions of the shard maps that the sender knows.
     pub map_revisions: Vec<(DomainId, RevisionNumber)>,
     /// Reports of upstreams of the sender's failure domain.
     pub reports: Vec<ReportNews>,
 }
 
-/// What instances tell each other all the time.
+/// State that an instance periodically exchanges with others.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ProbeMessage {
     /// The sender.
     pub from: InstanceRef,
-    /// Its failure domain.
+    /// Failure domain of the sender.
     pub domain: DomainId,
-    /// Whether it is leaving.
+    /// Whether the sender is leaving.
     pub leaving: bool,
-    /// Revision of its configuration.
+    /// Revision of the sender's configuration.
     pub config_revision: RevisionNumber,
-    /// Shard copies it holds.
+    /// Number of shard copies that the sender holds.
     pub copies: u32,
-    /// Shards it is primary of.
+    /// Number of shards whose primary the sender is.
     pub primaries: u32,
-    /// Whether it keeps its copies on a disk.
+    /// Whether the sender stores its copies on a disk.
     pub has_disk: bool,
-    /// The sender's calls at upstreams; it has none at the others.
+    /// The sender's load at upstreams; it has no calls at upstreams that are not listed.
     pub shares: Vec<UpstreamShare>,
-    /// The larger part, where the receiver is one of the few.
-    pub gossip: Option<GossipNews>,
+    /// The large part; `None` for most receivers.
+    pub gossip: Option<GossipPayload>,
 }
 
-/// A caller's request on its one hop to the primary.
+/// A caller's request that is forwarded, over one hop, to the primary.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ForwardedRequest {
     /// HTTP method.
@@ -109,67 +109,67 @@
     pub path: SmolStr,
     /// Query.
     pub query: SmolStr,
-    /// Organisation that the first instance has made out.
+    /// Organisation that the forwarding instance has authenticated.
     pub organisation: OrganisationId,
     /// Body.
     pub body: Vec<u8>,
 }
 
-/// Head of the answer to a forwarded request; the body follows in chunks.
+/// Head of the response to a forwarded request; the body follows in chunks.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ForwardHead {
     /// HTTP status.
     pub status: u16,
     /// Headers.
     pub headers: HeaderList,
-    /// Whether the body comes in chunks over time.
+    /// Whether the body is a stream whose chunks arrive over time.
     pub streamed: bool,
 }
 
 /// A request to another instance.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum PeerRequest {
-    /// Exchange of news; the answer is [`PeerReply::Probe`].
+    /// Exchange of probes; the reply is [`PeerReply::Probe`].
     Probe(ProbeMessage),
     /// Entries for a copy of a shard.
     Append(AppendRequest),
-    /// A whole copy of a shard.
+    /// A snapshot for a copy of a shard.
     Install(InstallRequest),
     /// A newer shard map.
     MapUpdate(VersionedMap),
-    /// Asks for a failure domain's shard map, or for its changes since a revision.
+    /// Reads a failure domain's shard map, or its changes since a revision.
     MapRead(DomainId, RevisionNumber),
-    /// Asks how far a shard's copy reaches that was found on the disk.
+    /// Reads the last position of a shard's copy that the receiver found on its disk.
     RecoveredRead(ShardId),
-    /// Asks for the records changed after a revision.
+    /// Reads the records changed after a revision.
     RecordsRead(RevisionNumber),
-    /// Records that the sender has just learned of.
+    /// Records that the sender has just received.
     RecordsUpdate(RecordDelta),
-    /// An engine lists a hold for a program whose primary the receiver is.
+    /// Notification that an engine lists a hold for a program whose primary the receiver is.
     AuditHold(ProgramId, UpstreamName),
     /// A caller's request.
     Forward(ForwardedRequest),
 }
 
-/// The answer of another instance.
+/// The reply of another instance.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum PeerReply {
-    /// News.
+    /// The probe of the replying instance.
     Probe(ProbeMessage),
-    /// What became of the entries.
+    /// Result of appending the entries.
     Append(AppendReply),
-    /// What became of the copy.
+    /// Result of installing the snapshot.
     Install(AppendReply),
-    /// How far a shard's copy on the disk reaches, where there is one.
+    /// Last position of a shard's copy on disk; `None` if there is no copy.
     Recovered(Option<LogPosition>),
-    /// A shard map, where one is known.
+    /// A shard map; `None` if none is known.
     Map(Option<VersionedMap>),
     /// The changes of a shard map.
     MapDelta(MapDelta),
     /// Records.
     Records(RecordDelta),
-    /// Head of the answer to a forwarded request.
+    /// Head of the response to a forwarded request.
     Forward(ForwardHead),
-    /// Nothing to tell.
+    /// Acknowledgement without data.
     Done,
 }
--- a/src/link/mod.rs
+++ b/src/link/mod.rs
@@ -4,10 +4,10 @@
 mod network;
 
 pub use message::{
-    ForwardHead, ForwardedRequest, GossipNews, LoadReport, PeerReply, PeerRequest, ProbeMessage,
+    ForwardHead, ForwardedRequest, GossipPayload, LoadReport, PeerReply, PeerRequest, ProbeMessage,
     ReportNews, UpstreamShare, UpstreamTag, upstream_tag,
 };
-pub use network::{LinkCounters, LinkError, LinkNetwork, PeerAnswer, PeerHandler, ReplyStream};
+pub use network::{HandlerReply, LinkCounters, LinkError, LinkNetwork, PeerHandler, ReplyStream};
 pub use samphiregrade_gateway::identity::{
     IdentityError, LinkIdentity, make_authority, make_identity,
 };
--- a/src/link/network.rs
+++ b/src/link/network.rs
@@ -1,4 +1,4 @@
-//! The QUIC endpoint of an instance: it answers other instances' requests and sends its own.
+//! The QUIC endpoint of an instance: serves the requests of other instances and sends its own.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -25,33 +25,33 @@
 /// Largest accepted frame in bytes; a shard's snapshot has to fit.
 const FRAME_LIMIT: usize = 256 << 20;
 
-/// Requests that one connection carries at once; each takes memory on every connection.
+/// Concurrent requests on one connection; each possible request takes memory on every connection.
 const STREAM_LIMIT: u32 = 512;
 
-/// Silence after which a connection is given up.
+/// Time without traffic after which a connection is closed.
 ///
-/// Nothing keeps it alive but requests: probes do for the instances that share shards, and those to
-/// others must not add up to one for each instance of the fleet.
+/// There are no keep-alives. Probes keep the connections to instances that share shards open; the
+/// connections to other instances have to expire, or they would add up to one for each instance.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Longest wait for a connection.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Why another instance gave no answer.
+/// Reason why another instance gave no reply.
 #[derive(Clone, Debug, Error)]
 pub enum LinkError {
-    /// No byte has left.
-    #[error("the instance can't be reached: {0}; it is tried again")]
+    /// The request was not sent.
+    #[error("the instance can't be reached: {0}; the request is retried")]
     Unreachable(SmolStr),
     /// The request may have arrived.
-    #[error("the link broke before the answer: {0}; the request is sent again with the same key")]
+    #[error("the link broke before the reply: {0}; the request is sent again with the same key")]
     Broken(SmolStr),
-    /// No answer within the time.
-    #[error("no answer in time; the request is sent again with the same key")]
+    /// No reply arrived within the timeout.
+    #[error("no reply in time; the request is sent again with the same key")]
     TimedOut,
 }
 
-/// Bytes and messages counted since the start.
+/// Counters of bytes and requests since the start.
 #[derive(Debug, Default)]
 pub struct LinkCounters {
     sent_bytes: AtomicU64,
@@ -60,7 +60,7 @@
 }
 
 impl LinkCounters {
-    /// Returns the bytes of messages sent, the bytes received and the requests sent.
+    /// Returns the number of bytes sent, of bytes received and of requests sent.
     #[must_use]
     pub fn read(&self) -> (u64, u64, u64) {
         (
@@ -71,19 +71,19 @@
     }
 }
 
-/// What a handler answers.
+/// A handler's reply to a request.
 #[derive(Debug)]
-pub enum PeerAnswer {
+pub enum HandlerReply {
     /// One reply.
     One(PeerReply),
-    /// A reply with chunks that follow as they come.
+    /// A reply that is followed by chunks as they become available.
     Stream(PeerReply, mpsc::Receiver<Bytes>),
 }
 
-/// Answers the requests of other instances.
+/// Handles the requests of other instances.
 pub trait PeerHandler: Send + Sync + 'static {
-    /// Answers a request.
-    fn handle(&self, request: PeerRequest) -> BoxFuture<'_, PeerAnswer>;
+    /// Handles a request.
+    fn handle(&self, request: PeerRequest) -> BoxFuture<'_, HandlerReply>;
 }
 
 struct NetworkInner {
@@ -92,7 +92,7 @@
     counters: LinkCounters,
 }
 
-/// The endpoint of an instance; cloning it is cheap.
+/// The endpoint of an instance; cheap to clone.
 #[derive(Clone)]
 pub struct LinkNetwork {
     inner: Arc<NetworkInner>,
@@ -115,11 +115,11 @@
 }
 
 impl LinkNetwork {
-    /// Opens the endpoint on a bound socket; to be called inside a tokio runtime.
+    /// Opens the endpoint on a bound socket; has to be called inside a tokio runtime.
     ///
     /// # Errors
     ///
-    /// Returns [`IdentityError`] where the certificates or the socket can't be used.
+    /// Returns [`IdentityError`] if the certificates or the socket can't be used.
     pub fn open(socket: UdpSocket, identity: &LinkIdentity) -> Result<Self, IdentityError> {
         let mut server = ServerConfig::with_crypto(Arc::new(identity.server_config()?));
         server.transport_config(transport());
@@ -145,7 +145,7 @@
         &self.inner.counters
     }
 
-    /// Answers requests until the token is cancelled.
+    /// Serves requests until the token is cancelled.
     pub async fn serve(&self, handler: Arc<dyn PeerHandler>, stop: CancellationToken) {
         loop {
             let incoming = tokio::select! {
@@ -191,8 +191,8 @@
             return Ok(());
         };
         match handler.handle(request).await {
-            PeerAnswer::One(reply) => self.write_message(&mut send, &reply).await?,
-            PeerAnswer::Stream(reply, mut chunks) => {
+            HandlerReply::One(reply) => self.write_message(&mut send, &reply).await?,
+            HandlerReply::Stream(reply, mut chunks) => {
                 self.write_message(&mut send, &reply).await?;
                 while let Some(chunk) = chunks.recv().await {
                     self.write_frame(&mut send, &chunk).await?;
@@ -240,7 +240,7 @@
         postcard::from_bytes(&bytes).map(Some).map_err(broken)
     }
 
-    /// Reads a frame; `None` at the end of the stream.
+    /// Reads a frame; returns `None` at the end of the stream.
     async fn read_frame(&self, receive: &mut RecvStream) -> Result<Option<Vec<u8>>, LinkError> {
         let mut length = [0; 4];
         match receive.read_exact(&mut length).await {
@@ -266,7 +266,7 @@
     ///
     /// # Errors
     ///
-    /// [`LinkError::Unreachable`] where nothing has left, else [`LinkError::Broken`] or
+    /// Returns [`LinkError::Unreachable`] if the request was not sent, otherwise [`LinkError::Broken`] or
     /// [`LinkError::TimedOut`].
     pub async fn call(
         &self,
@@ -281,7 +281,7 @@
         let reply = tokio::time::timeout(timeout, call).await;
         match reply {
             Ok(Ok(Some(reply))) => Ok(reply),
-            Ok(Ok(None)) => Err(LinkError::Broken("the answer is empty".into())),
+            Ok(Ok(None)) => Err(LinkError::Broken("the reply is empty".into())),
             Ok(Err(error)) => Err(error),
             Err(_) => Err(LinkError::TimedOut),
         }
@@ -301,7 +301,7 @@
         self.inner.counters.requests.fetch_add(1, Ordering::Relaxed);
         let opened = connection.open_bi().await;
         let (mut send, mut receive) = opened.map_err(|error| {
-            self.forget(address, &connection);
+            self.remove_connection(address, &connection);
             LinkError::Unreachable(error.to_smolstr())
         })?;
         self.write_message(&mut send, request).await?;
@@ -352,7 +352,7 @@
         Some(connection.clone())
     }
 
-    fn forget(&self, address: SocketAddr, connection: &Connection) {
+    fn remove_connection(&self, address: SocketAddr, connection: &Connection) {
         let mut connections = self
             .inner
             .connections
@@ -367,7 +367,7 @@
     }
 }
 
-/// A reply whose chunks still come.
+/// A reply whose chunks are still arriving.
 #[derive(Debug)]
 pub struct ReplyStream {
     head: Option<PeerReply>,
@@ -376,16 +376,16 @@
 }
 
 impl ReplyStream {
-    /// Returns the reply before the chunks, once.
+    /// Returns the reply that precedes the chunks; returns `None` from the second call on.
     pub fn take_head(&mut self) -> Option<PeerReply> {
         self.head.take()
     }
 
-    /// Waits for the next chunk; `None` after the last one.
+    /// Waits for the next chunk; returns `None` after the last one.
     ///
     /// # Errors
     ///
-    /// Returns [`LinkError::Broken`] where the link breaks.
+    /// Returns [`LinkError::Broken`] if the link breaks.
     pub async fn next_chunk(&mut self) -> Result<Option<Vec<u8>>, LinkError> {
         self.network.read_frame(&mut self.receive).await
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of samphiregrade: parses the command and hands over to its module.
+//! The command line of samphiregrade: parses the command and runs its module.
 
 mod cmd;
 
--- a/src/membership/detector.rs
+++ b/src/membership/detector.rs
@@ -1,9 +1,9 @@
-//! Failure detectors on the same observations: a plain timeout, phi-accrual, and the hybrid of
+//! Failure detectors that work on the same observations: a plain timeout, phi-accrual, and the hybrid of
 //! Mostefaoui, Raynal and Travers, "Time-Free and Timer-Based Assumptions Can Be Combined to Obtain
 //! Eventual Leadership" (IEEE TPDS 17(7), 2006).
 //!
-//! An observation is one round of probes: how long each peer took to answer. The detectors say after
-//! each round whom they suspect. `samphiregrade-bench detectors` runs them on recorded delays.
+//! An observation is one round of probes: how long each peer took to reply. After each round, a detector
+//! returns which peers it suspects. `samphiregrade-bench detectors` runs them on recorded delays.
 
 use std::collections::VecDeque;
 use std::str::FromStr;
@@ -11,33 +11,33 @@
 
 use thiserror::Error;
 
-/// One round of probes: for each peer the delay of its answer, `None` where none came.
+/// One round of probes: the delay of each peer's reply, `None` if no reply arrived.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RoundObservation {
-    /// Time since the round before.
+    /// Time since the previous round.
     pub interval: Duration,
-    /// Delay of each peer's answer.
+    /// Delay of each peer's reply.
     pub delays: Vec<Option<Duration>>,
 }
 
-/// Says after each round whom it suspects.
+/// Decides after each round of probes which peers it suspects.
 pub trait FailureDetector {
-    /// Takes a round and returns for each peer whether it is suspected.
+    /// Processes a round and returns for each peer whether it is suspected.
     fn observe(&mut self, round: &RoundObservation) -> Vec<bool>;
 }
 
-/// The detectors to choose from in an experiment.
+/// The detectors that an experiment can select.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DetectorKind {
-    /// Suspect after a fixed silence.
+    /// Suspects a peer after a fixed time without a reply.
     Timeout,
-    /// Suspect when the silence is improbable.
+    /// Suspects a peer when the time without a reply is improbably long.
     Phi,
-    /// Trust who is timely or among the first to answer.
+    /// Trusts a peer that replies in time or among the first.
     Hybrid,
 }
 
-/// A name that is no detector.
+/// A name that belongs to no detector.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 #[error("there is no detector `{0}`; use timeout, phi or hybrid")]
 pub struct DetectorNameError(String);
@@ -59,7 +59,7 @@
     /// Every detector.
     pub const ALL: [Self; 3] = [Self::Timeout, Self::Phi, Self::Hybrid];
 
-    /// Name of the detector.
+    /// Returns the name of the detector.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Makes the detector with the settings that the product uses or would use.
+    /// Creates the detector with the settings that samphiregrade uses, or would use if it used this detector.
     #[must_use]
     pub fn make(self, suspect_after: Duration) -> Box<dyn FailureDetector> {
         match self {
@@ -80,48 +80,48 @@
     }
 }
 
-/// Suspects a peer whose last answer is longer ago than a fixed time.
+/// Suspects a peer whose last reply is older than a fixed time.
 #[derive(Clone, Debug)]
 pub struct TimeoutDetector {
     suspect_after: Duration,
-    silent: Vec<Duration>,
+    since_reply: Vec<Duration>,
 }
 
 impl TimeoutDetector {
-    /// Makes a detector with the silence after which it suspects.
+    /// Creates a detector with the time without a reply after which it suspects a peer.
     #[must_use]
     pub fn new(suspect_after: Duration) -> Self {
         Self {
             suspect_after,
-            silent: Vec::new(),
+            since_reply: Vec::new(),
         }
     }
 }
 
 impl FailureDetector for TimeoutDetector {
     fn observe(&mut self, round: &RoundObservation) -> Vec<bool> {
-        self.silent.resize(round.delays.len(), Duration::ZERO);
-        for (silent, delay) in self.silent.iter_mut().zip(&round.delays) {
-            *silent = match delay {
+        self.since_reply.resize(round.delays.len(), Duration::ZERO);
+        for (since_reply, delay) in self.since_reply.iter_mut().zip(&round.delays) {
+            *since_reply = match delay {
                 Some(delay) if *delay < round.interval => Duration::ZERO,
                 Some(delay) => *delay,
-                None => *silent + round.interval,
+                None => *since_reply + round.interval,
             };
         }
-        self.silent
+        self.since_reply
             .iter()
-            .map(|silent| *silent > self.suspect_after)
+            .map(|since_reply| *since_reply > self.suspect_after)
             .collect()
     }
 }
 
-/// Answer times that [`PhiDetector`] remembers for each peer.
+/// Intervals between replies that [`PhiDetector`] stores for each peer.
 const PHI_WINDOW: usize = 100;
 
-/// Answer times before [`PhiDetector`] suspects anybody.
+/// Intervals between replies that [`PhiDetector`] needs before it suspects a peer.
 const PHI_SAMPLES: usize = 5;
 
-/// Suspects a peer whose silence is improbable after its past answers (phi-accrual).
+/// Suspects a peer when the time since its last reply is improbably long given its past replies (phi-accrual).
 #[derive(Clone, Debug)]
 pub struct PhiDetector {
     threshold: f64,
@@ -131,7 +131,7 @@
 #[derive(Clone, Debug, Default)]
 struct PhiPeer {
     gaps: VecDeque<f64>,
-    silent: f64,
+    since_reply: f64,
     last_delay: f64,
 }
 
@@ -146,18 +146,18 @@
 
 impl PhiPeer {
     fn observe(&mut self, interval: f64, delay: Option<f64>) {
-        self.silent += interval;
+        self.since_reply += interval;
         let Some(delay) = delay else { return };
-        let gap = (self.silent + delay - self.last_delay).max(0.0);
+        let gap = (self.since_reply + delay - self.last_delay).max(0.0);
         self.gaps.push_back(gap);
         if self.gaps.len() > PHI_WINDOW {
             self.gaps.pop_front();
         }
-        self.silent = 0.0;
+        self.since_reply = 0.0;
         self.last_delay = delay;
     }
 
-    /// Returns how improbable the silence is, as the negative decimal logarithm.
+    /// Returns the negative decimal logarithm of the probability of the time since the last reply.
     #[expect(clippy::cast_precision_loss, reason = "at most one window of samples")]
     fn phi(&self, interval: f64) -> f64 {
         if self.gaps.len() < PHI_SAMPLES {
@@ -172,7 +172,7 @@
             .sum::<f64>()
             / count;
         let deviation = variance.sqrt().max(interval / 4.0);
-        let distance = (self.silent - mean) / deviation;
+        let distance = (self.since_reply - mean) / deviation;
         // Logistic approximation of the normal distribution's tail.
         let exponent = (-distance * (1.5976 + 0.070_566 * distance * distance)).exp();
         let tail = if distance > 0.0 {
@@ -198,12 +198,12 @@
     }
 }
 
-/// Trusts a peer that is timely, or among the first `n - f` to answer, in one of the last rounds.
+/// Trusts a peer that replied in time, or among the first `n - f`, in one of the last rounds.
 ///
 /// The timeout of a peer grows with every false suspicion, as in the paper's algorithm.
 #[derive(Clone, Debug)]
 pub struct HybridDetector {
-    /// Rounds without either sign after which a peer is suspected.
+    /// Rounds in which a peer replies neither in time nor among the first before it is suspected.
     rounds: u32,
     first_timeout: Duration,
     peers: Vec<HybridPeer>,
@@ -236,11 +236,11 @@
         let processes = round.delays.len() + 1;
         let faulty = (processes - 1) / 2;
         let winners = processes - faulty - 1;
-        let mut answered: Vec<Duration> = round.delays.iter().flatten().copied().collect();
-        answered.sort();
-        let last_winner = answered
+        let mut sorted_delays: Vec<Duration> = round.delays.iter().flatten().copied().collect();
+        sorted_delays.sort();
+        let last_winner = sorted_delays
             .get(winners.saturating_sub(1))
-            .or(answered.last())
+            .or(sorted_delays.last())
             .copied();
         for (peer, delay) in self.peers.iter_mut().zip(&round.delays) {
             let Some(delay) = *delay else {
@@ -286,7 +286,7 @@
     }
 
     #[test]
-    fn every_detector_trusts_the_living_and_suspects_the_dead() {
+    fn every_detector_trusts_live_peers_and_suspects_dead_ones() {
         for kind in DetectorKind::ALL {
             let mut detector = kind.make(Duration::from_millis(1200));
             assert!(
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Which instances there are, and which of them answer.
+//! The known instances, and which of them respond.
 
 mod detector;
 mod prober;
--- a/src/membership/prober.rs
+++ b/src/membership/prober.rs
@@ -1,7 +1,7 @@
 //! The task that reads the instance list and probes other instances.
 //!
-//! The work of one instance does not grow with the fleet: it probes the instances that share shards
-//! with it, and a few others in turn.
+//! The work of one instance does not grow with the number of instances: it probes the instances that
+//! share shards with it, and a few others chosen at random.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,22 +15,22 @@
 use crate::keyvalue::InstanceList;
 use crate::link::{LinkNetwork, PeerReply, PeerRequest, ProbeMessage};
 
-/// Time after the start in which the list is read more often, to find the others soon.
-const YOUNG_TIME: Duration = Duration::from_secs(5);
+/// Time after the start in which the list is read more often, to discover the other instances soon.
+const STARTUP_TIME: Duration = Duration::from_secs(5);
 
-/// How instances look after each other.
+/// Settings of the probes between instances.
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
     /// Time between two probes of the same instance.
     pub probe_interval: Duration,
-    /// Silence after which an instance is suspected.
+    /// Time without a reply after which an instance is suspected.
     pub suspect_after: Duration,
     /// Time between two readings of the instance list.
     pub list_interval: Duration,
-    /// Instances probed in one interval besides those that share shards.
-    pub others: usize,
-    /// Most instances probed in one interval.
-    pub most: usize,
+    /// Instances probed in one interval in addition to those that share shards.
+    pub extra_probes: usize,
+    /// Maximum number of instances probed in one interval.
+    pub max_probes: usize,
 }
 
 impl Default for MembershipSettings {
@@ -39,22 +39,22 @@
             probe_interval: Duration::from_millis(250),
             suspect_after: Duration::from_millis(1200),
             list_interval: Duration::from_secs(2),
-            others: 1,
-            most: 8,
+            extra_probes: 1,
+            max_probes: 8,
         }
     }
 }
 
-/// What a probe tells and what is done with the answer.
+/// Composes the probes to send and applies the replies.
 pub trait ProbeSource: Send + Sync + 'static {
-    /// Composes the news for a probe; `gossip` asks for the parts that go to few.
+    /// Composes a probe; with `gossip`, the probe includes the payload that goes to few instances.
     fn compose(&self, gossip: bool) -> ProbeMessage;
 
     /// Returns the instances that share shards with this one.
     fn partners(&self) -> Vec<InstanceRef>;
 
-    /// Takes the news of another instance.
-    fn take(&self, probe: ProbeMessage) -> BoxFuture<'_, ()>;
+    /// Applies the probe of another instance.
+    fn apply(&self, probe: ProbeMessage) -> BoxFuture<'_, ()>;
 }
 
 /// Reads the list and probes until the token is cancelled.
@@ -76,8 +76,8 @@
             () = stop.cancelled() => return,
         }
         if Instant::now() >= list_due {
-            let young = started.elapsed() < YOUNG_TIME;
-            let interval = if young {
+            let starting = started.elapsed() < STARTUP_TIME;
+            let interval = if starting {
                 settings.probe_interval
             } else {
                 settings.list_interval
@@ -100,7 +100,7 @@
                 let reply = network.call(peer.address, &request, timeout).await;
                 if let Ok(PeerReply::Probe(probe)) = reply {
                     table.merge_probe(&probe, Instant::now());
-                    source.take(probe).await;
+                    source.apply(probe).await;
                 }
             });
         }
@@ -114,7 +114,7 @@
     }
 }
 
-/// Chooses whom to probe: those that share shards, and a few others.
+/// Chooses the instances to probe: those that share shards, and a few others.
 fn choose_peers(
     table: &PeerTable,
     partners: &[InstanceRef],
@@ -126,13 +126,13 @@
     let mut rng = rand::rng();
     partners.shuffle(&mut rng);
     others.shuffle(&mut rng);
-    let mut chosen: Vec<PeerRecord> = others.into_iter().take(settings.others).collect();
+    let mut chosen: Vec<PeerRecord> = others.into_iter().take(settings.extra_probes).collect();
     chosen.extend(partners);
-    chosen.truncate(settings.most);
+    chosen.truncate(settings.max_probes);
     chosen
 }
 
-/// Chooses who gets the larger part of the news: one of the own failure domain, and one of all.
+/// Chooses the instances that get the gossip payload: one of the own failure domain, and one of any domain.
 fn choose_gossip(table: &PeerTable, chosen: &[PeerRecord]) -> Vec<usize> {
     let view = table.view();
     let mut places: Vec<usize> = (0..chosen.len()).collect();
--- a/src/membership/table.rs
+++ b/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The table of instances: fed by the platform's list and by probes, read on the request path.
+//! The table of instances: updated from the instance list and by probes, read on the request path.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,34 +14,34 @@
 /// One other instance.
 #[derive(Clone, Debug)]
 pub struct PeerRecord {
-    /// The process that answered last; incarnation 0 before the first answer.
+    /// The process that responded last; incarnation 0 before the first response.
     pub instance: InstanceRef,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: DomainId,
-    /// Address of its peer listener.
+    /// Address of the instance's peer listener.
     pub address: SocketAddr,
-    /// Whether it is leaving.
+    /// Whether the instance is leaving.
     pub leaving: bool,
-    /// When it answered last.
-    pub heard: Option<Instant>,
-    /// Shard copies it holds.
+    /// Time of the last probe or reply from the instance.
+    pub last_response: Option<Instant>,
+    /// Number of shard copies that the instance holds.
     pub copies: u32,
-    /// Shards it is primary of.
+    /// Number of shards whose primary the instance is.
     pub primaries: u32,
-    /// Whether it keeps its copies on a disk.
+    /// Whether the instance stores its copies on a disk.
     pub has_disk: bool,
 }
 
-/// The instances at one moment.
+/// An immutable view of the known instances.
 #[derive(Clone, Debug)]
 pub struct PeerView {
     /// This process.
     pub me: InstanceRef,
-    /// Its failure domain.
+    /// Failure domain of this process.
     pub domain: DomainId,
-    /// How long a silent instance is trusted.
+    /// Time without a response after which an instance is suspected.
     pub suspect_after: Duration,
-    /// When this process began to look.
+    /// Time at which this process started to observe others.
     pub since: Instant,
     peers: HashMap<InstanceName, PeerRecord>,
 }
@@ -52,20 +52,20 @@
         self.peers.values()
     }
 
-    /// Returns the record of a process, where it is the one that answered last.
+    /// Returns the record of a process if it is the instance's process that responded last.
     #[must_use]
     pub fn record(&self, instance: &InstanceRef) -> Option<&PeerRecord> {
         let record = self.peers.get(&instance.name)?;
         (record.instance.incarnation == instance.incarnation).then_some(record)
     }
 
-    /// Returns the address of a process.
+    /// Returns the address of a process's instance.
     #[must_use]
     pub fn address(&self, instance: &InstanceRef) -> Option<SocketAddr> {
         self.peers.get(&instance.name).map(|record| record.address)
     }
 
-    /// Returns whether the process has not answered for too long, or is known to have ended.
+    /// Returns whether the process has not responded for too long, or is known to have ended.
     #[must_use]
     pub fn suspects(&self, instance: &InstanceRef, now: Instant) -> bool {
         if *instance == self.me {
@@ -74,13 +74,15 @@
         if self.has_ended(instance) {
             return true;
         }
-        let heard = self.record(instance).and_then(|record| record.heard);
-        now.duration_since(heard.unwrap_or(self.since)) > self.suspect_after
+        let last_response = self
+            .record(instance)
+            .and_then(|record| record.last_response);
+        now.duration_since(last_response.unwrap_or(self.since)) > self.suspect_after
     }
 
-    /// Returns whether a later process has answered in the instance's place.
+    /// Returns whether a later process of the same instance has responded.
     ///
-    /// The later one listens at the same address, so the earlier one has certainly ended.
+    /// The later process listens at the same address, so the earlier one has certainly ended.
     #[must_use]
     pub fn has_ended(&self, instance: &InstanceRef) -> bool {
         if instance.name == self.me.name {
@@ -91,26 +93,28 @@
             .is_some_and(|record| record.instance.incarnation > instance.incarnation)
     }
 
-    /// Returns whether the process has told that it is leaving.
+    /// Returns whether the process has reported that it is leaving.
     #[must_use]
     pub fn is_leaving(&self, instance: &InstanceRef) -> bool {
         self.record(instance).is_some_and(|record| record.leaving)
     }
 
-    /// Returns the instances of a failure domain that answer and stay, in order of their names.
+    /// Returns the other instances of a failure domain that respond and are not leaving, sorted by name.
     #[must_use]
     pub fn live_in(&self, domain: &str, now: Instant) -> Vec<&PeerRecord> {
         let mut live: Vec<&PeerRecord> = self
             .peers
             .values()
             .filter(|record| record.domain == domain && !record.leaving)
-            .filter(|record| record.heard.is_some() && !self.suspects(&record.instance, now))
+            .filter(|record| {
+                record.last_response.is_some() && !self.suspects(&record.instance, now)
+            })
             .collect();
         live.sort_by(|one, other| one.instance.name.cmp(&other.instance.name));
         live
     }
 
-    /// Returns whether any instance of another failure domain answers.
+    /// Returns whether any instance of another failure domain responds.
     #[must_use]
     pub fn reaches_other_domain(&self, now: Instant) -> bool {
         self.peers
@@ -119,7 +123,7 @@
     }
 }
 
-/// The table; readers get a view without a lock.
+/// The table of instances; readers get a view without taking a lock.
 #[derive(Debug)]
 pub struct PeerTable {
     view: ArcSwap<PeerView>,
@@ -127,7 +131,7 @@
 }
 
 impl PeerTable {
-    /// Starts a table that knows nobody.
+    /// Creates a table without other instances.
     #[must_use]
     pub fn new(me: InstanceRef, domain: DomainId, suspect_after: Duration) -> Self {
         let view = PeerView {
@@ -159,7 +163,7 @@
         self.view.store(Arc::new(view));
     }
 
-    /// Takes the platform's list: new instances are added, gone ones stay while they answer.
+    /// Merges the instance list: adds new instances, and removes missing ones that have stopped responding.
     pub fn merge_list(&self, listed: &[ListedInstance], now: Instant) {
         self.update(|view| {
             for instance in listed {
@@ -177,7 +181,7 @@
                             domain: instance.failure_domain.clone(),
                             address: instance.peer_address,
                             leaving: false,
-                            heard: None,
+                            last_response: None,
                             copies: 0,
                             primaries: 0,
                             has_disk: false,
@@ -187,15 +191,15 @@
             }
             let suspect_after = view.suspect_after;
             view.peers.retain(|name, record| {
-                let fresh = record
-                    .heard
+                let responding = record
+                    .last_response
                     .is_some_and(|at| now.duration_since(at) < suspect_after);
-                fresh || listed.iter().any(|instance| instance.name == *name)
+                responding || listed.iter().any(|instance| instance.name == *name)
             });
         });
     }
 
-    /// Takes the news of an instance that answered or asked.
+    /// Merges the probe or probe reply of another instance.
     pub fn merge_probe(&self, probe: &ProbeMessage, now: Instant) {
         self.update(|view| {
             if let Some(record) = view.peers.get_mut(&probe.from.name) {
@@ -213,7 +217,7 @@
         self.instance = probe.from.clone();
         self.domain = probe.domain.clone();
         self.leaving = probe.leaving;
-        self.heard = Some(now);
+        self.last_response = Some(now);
         self.copies = probe.copies;
         self.primaries = probe.primaries;
         self.has_disk = probe.has_disk;
--- a/src/record/mod.rs
+++ b/src/record/mod.rs
@@ -1,4 +1,4 @@
-//! Operators' records: their kinds and schema versions, and the configuration they add up to.
+//! Operators' records: their kinds and schema versions, and the configuration built from them.
 
 mod schema;
 mod spec;
@@ -13,5 +13,5 @@
 pub use store::{RecordChange, RecordDelta, RecordStore, StoredRecord, record_diff, record_key};
 pub use view::{ConfigView, RecordProblem};
 
-/// Prefix of the platform's keys that hold records.
+/// Prefix of the keys in the key-value service that hold records.
 pub const RECORD_PREFIX: &str = "samphiregrade/records/";
--- a/src/record/schema.rs
+++ b/src/record/schema.rs
@@ -1,6 +1,6 @@
 //! The kinds of record and their schema versions 1 and 2.
 //!
-//! Every version is read into the current type; what version 1 could not say gets its default.
+//! Every version is converted to the current type; fields that version 1 lacks get their defaults.
 
 use std::fmt;
 use std::str::FromStr;
@@ -12,14 +12,14 @@
 use thiserror::Error;
 
 use super::spec::{
-    DomainSpec, ModelSpec, OrganisationOld, OrganisationSpec, PolicySpec, ProgramClassOld,
-    ProgramClassSpec, UpstreamKind, UpstreamOld, UpstreamSpec,
+    DomainSpec, ModelSpec, OrganisationSpec, OrganisationV1, PolicySpec, ProgramClassSpec,
+    ProgramClassV1, UpstreamKind, UpstreamSpec, UpstreamV1,
 };
 
 /// Newest schema version that this release reads and writes.
 pub const CURRENT_SCHEMA: u32 = 2;
 
-/// What a record is about.
+/// Kind of a record.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RecordKind {
@@ -31,7 +31,7 @@
     Upstream,
     /// An organisation and its tokens.
     Organisation,
-    /// How work is scheduled.
+    /// The scheduling policy.
     Policy,
     /// A failure domain.
     FailureDomain,
@@ -48,7 +48,7 @@
         Self::FailureDomain,
     ];
 
-    /// Name of the kind in keys and on the command line.
+    /// Returns the name of the kind in keys and on the command line.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -79,7 +79,7 @@
     }
 }
 
-/// A record that can't be used.
+/// Reason why a record can't be used.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum RecordError {
     /// The kind is unknown.
@@ -88,7 +88,7 @@
          or failure-domain"
     )]
     UnknownKind(SmolStr),
-    /// The schema version is newer than this release knows.
+    /// The schema version is newer than this release supports.
     #[error(
         "schema version {0} is not known here (1 to {CURRENT_SCHEMA} are); upgrade the instances \
          first, or write the record in schema {CURRENT_SCHEMA}"
@@ -102,7 +102,7 @@
     BadField {
         /// Name of the field.
         field: &'static str,
-        /// What is wrong and what would be right.
+        /// What is wrong and which values are accepted.
         problem: SmolStr,
     },
 }
@@ -113,11 +113,11 @@
 pub struct RecordEnvelope {
     /// Schema version of `spec`.
     pub schema: u32,
-    /// What the record is about.
+    /// Kind of the record.
     pub kind: RecordKind,
-    /// Name within the kind.
+    /// Name, unique within the kind.
     pub name: SmolStr,
-    /// The content, by schema version.
+    /// The content, in the format of the schema version.
     pub spec: Value,
 }
 
@@ -132,7 +132,7 @@
     Upstream(UpstreamSpec),
     /// An organisation and its tokens.
     Organisation(OrganisationSpec),
-    /// How work is scheduled.
+    /// The scheduling policy.
     Policy(PolicySpec),
     /// A failure domain.
     FailureDomain(DomainSpec),
@@ -148,11 +148,11 @@
         serde_json::from_str(text).map_err(|error| RecordError::Invalid(error.to_smolstr()))
     }
 
-    /// Reads the content by its schema version and checks it.
+    /// Reads the content according to its schema version and validates it.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with the first wrong field, or [`RecordError::UnknownSchema`].
+    /// Returns the problem of the first invalid field, or [`RecordError::UnknownSchema`].
     pub fn read(&self) -> Result<RecordSpec, RecordError> {
         if self.name.is_empty() || self.name.contains('/') {
             let problem = "has to be non-empty and without `/`".into();
@@ -161,25 +161,25 @@
                 problem,
             });
         }
-        let old = match self.schema {
+        let is_first_version = match self.schema {
             1 => true,
             2 => false,
             newer => return Err(RecordError::UnknownSchema(newer)),
         };
         let spec = match self.kind {
-            RecordKind::ProgramClass => RecordSpec::ProgramClass(if old {
-                self.content::<ProgramClassOld>()?.into()
+            RecordKind::ProgramClass => RecordSpec::ProgramClass(if is_first_version {
+                self.content::<ProgramClassV1>()?.into()
             } else {
                 self.content()?
             }),
             RecordKind::Model => RecordSpec::Model(self.content()?),
-            RecordKind::Upstream => RecordSpec::Upstream(if old {
-                self.content::<UpstreamOld>()?.into()
+            RecordKind::Upstream => RecordSpec::Upstream(if is_first_version {
+                self.content::<UpstreamV1>()?.into()
             } else {
                 self.content()?
             }),
-            RecordKind::Organisation => RecordSpec::Organisation(if old {
-                self.content::<OrganisationOld>()?.into()
+            RecordKind::Organisation => RecordSpec::Organisation(if is_first_version {
+                self.content::<OrganisationV1>()?.into()
             } else {
                 self.content()?
             }),
@@ -201,24 +201,24 @@
 
 impl RecordSpec {
     fn check(&self) -> Result<(), RecordError> {
-        let wrong = |field, problem: &str| {
+        let bad_field = |field, problem: &str| {
             let problem = problem.into();
             Err(RecordError::BadField { field, problem })
         };
         match self {
             Self::ProgramClass(class) if class.priority > 9 => {
-                wrong("priority", "has to be from 0 (first) to 9")
+                bad_field("priority", "has to be from 0 (first) to 9")
             }
             Self::ProgramClass(class) if class.limits.tokens == 0 => {
-                wrong("limits.tokens", "has to be at least 1")
+                bad_field("limits.tokens", "has to be at least 1")
             }
             Self::Upstream(upstream) if !upstream.address.starts_with("http://") => {
-                wrong("address", "has to be a URL such as http://10.0.0.7:8000")
+                bad_field("address", "has to be a URL such as http://10.0.0.7:8000")
             }
             Self::Upstream(upstream)
                 if upstream.kind == UpstreamKind::Service && upstream.service.is_empty() =>
             {
-                wrong(
+                bad_field(
                     "service",
                     "has to name the service for an upstream of kind `service`",
                 )
@@ -226,7 +226,7 @@
             Self::Upstream(upstream)
                 if upstream.kind == UpstreamKind::Engine && upstream.models.is_empty() =>
             {
-                wrong(
+                bad_field(
                     "models",
                     "has to name at least one model for an upstream of kind `engine`",
                 )
@@ -237,7 +237,7 @@
                     .iter()
                     .any(|hash| hash.len() != 64) =>
             {
-                wrong(
+                bad_field(
                     "token-hashes",
                     "has to hold BLAKE3 hashes of 64 hexadecimal digits",
                 )
--- a/src/record/spec.rs
+++ b/src/record/spec.rs
@@ -1,4 +1,4 @@
-//! The contents of records in their current form, and how version 1 is read into it.
+//! The contents of records in their current form, and the conversion from version 1.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use crate::ids::{DomainId, ModelName, TokenCount};
 use crate::program::ProgramLimits;
 
-/// Calls that an upstream without a limit of its own gets at once.
+/// Concurrent calls to an upstream whose record sets no limit.
 const DEFAULT_CONCURRENCY: u32 = 64;
 
 /// A class of programs that may run.
@@ -20,16 +20,16 @@
 pub struct ProgramClassSpec {
     /// Model that serves the class.
     pub model: ModelName,
-    /// From 0, which runs first, to 9.
+    /// Priority from 0, which runs first, to 9.
     #[serde(default = "default_priority")]
     pub priority: u8,
-    /// What one program may use.
+    /// Limits of one program.
     #[serde(default)]
     pub limits: ProgramLimits,
     /// Tokens that all programs of the class may use together, over all failure domains.
     #[serde(default)]
     pub class_tokens: Option<TokenCount>,
-    /// Weight of program latency against wasted cache, from 0 to 1.
+    /// Weight of program latency relative to wasted cache, from 0 to 1.
     #[serde(default = "default_weight")]
     pub latency_weight: f64,
 }
@@ -45,14 +45,14 @@
 /// Schema version 1 of [`ProgramClassSpec`].
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub(super) struct ProgramClassOld {
+pub(super) struct ProgramClassV1 {
     model: ModelName,
     priority: u8,
     tokens: TokenCount,
 }
 
-impl From<ProgramClassOld> for ProgramClassSpec {
-    fn from(old: ProgramClassOld) -> Self {
+impl From<ProgramClassV1> for ProgramClassSpec {
+    fn from(old: ProgramClassV1) -> Self {
         Self {
             model: old.model,
             priority: old.priority,
@@ -70,13 +70,13 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct ModelSpec {
-    /// Version that engines are to serve.
+    /// Version that engines have to serve.
     pub version: SmolStr,
-    /// Engines of each failure domain that are to have it loaded.
+    /// Number of engines in each failure domain that have to have the model loaded.
     pub replicas: u32,
 }
 
-/// What an upstream is.
+/// Kind of an upstream.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum UpstreamKind {
@@ -91,32 +91,32 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct UpstreamSpec {
-    /// What it is.
+    /// Kind of the upstream.
     #[serde(default)]
     pub kind: UpstreamKind,
     /// Base URL.
     pub address: SmolStr,
-    /// Failure domain it stands in.
+    /// Failure domain of the upstream.
     pub failure_domain: DomainId,
     /// Models that an engine serves.
     #[serde(default)]
     pub models: Vec<ModelName>,
-    /// Service that it belongs to.
+    /// Service that the upstream belongs to.
     #[serde(default)]
     pub service: SmolStr,
-    /// Whether it refuses old fencing numbers.
+    /// Whether the upstream refuses outdated fencing numbers.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Whether it tells the outcome of an earlier call.
+    /// Whether the upstream reports the outcome of an earlier call on request.
     #[serde(default)]
     pub tells_outcome: bool,
-    /// Whether it is leaving and gets no new work.
+    /// Whether the upstream is leaving and gets no new work.
     #[serde(default)]
     pub leaving: bool,
-    /// Calls that it takes at once.
+    /// Maximum number of concurrent calls.
     #[serde(default = "default_concurrency")]
     pub concurrency: u32,
-    /// Longest time one of its calls may take, in seconds.
+    /// Timeout of a call, in seconds.
     #[serde(default = "default_timeout")]
     pub timeout_seconds: u32,
 }
@@ -130,7 +130,7 @@
 }
 
 impl UpstreamSpec {
-    /// Returns the longest time one of its calls may take.
+    /// Returns the timeout of a call.
     #[must_use]
     pub fn timeout(&self) -> Duration {
         Duration::from_secs(self.timeout_seconds.into())
@@ -140,14 +140,14 @@
 /// Schema version 1 of [`UpstreamSpec`].
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub(super) struct UpstreamOld {
+pub(super) struct UpstreamV1 {
     address: SmolStr,
     failure_domain: DomainId,
     models: Vec<ModelName>,
 }
 
-impl From<UpstreamOld> for UpstreamSpec {
-    fn from(old: UpstreamOld) -> Self {
+impl From<UpstreamV1> for UpstreamSpec {
+    fn from(old: UpstreamV1) -> Self {
         Self {
             kind: UpstreamKind::Engine,
             address: old.address,
@@ -167,23 +167,23 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct OrganisationSpec {
-    /// Hashes of the access tokens of its callers.
+    /// Hashes of the access tokens of the organisation's callers.
     pub token_hashes: Vec<SmolStr>,
-    /// Whether its tokens open the operators' addresses too.
+    /// Whether the organisation's tokens are accepted at the operators' addresses, too.
     pub operator: bool,
-    /// Tokens that its programs may use together, over all failure domains.
+    /// Tokens that the organisation's programs may use together, over all failure domains.
     pub tokens: Option<TokenCount>,
 }
 
 /// Schema version 1 of [`OrganisationSpec`].
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub(super) struct OrganisationOld {
+pub(super) struct OrganisationV1 {
     token_hash: SmolStr,
 }
 
-impl From<OrganisationOld> for OrganisationSpec {
-    fn from(old: OrganisationOld) -> Self {
+impl From<OrganisationV1> for OrganisationSpec {
+    fn from(old: OrganisationV1) -> Self {
         Self {
             token_hashes: vec![old.token_hash],
             ..Self::default()
@@ -191,24 +191,24 @@
     }
 }
 
-/// Hash under which an access token is kept in records.
+/// Computes the hash under which records store an access token.
 #[must_use]
 pub fn token_hash(token: &str) -> SmolStr {
     blake3::hash(token.as_bytes()).to_hex().as_str().into()
 }
 
-/// The ways of scheduling to choose from.
+/// The available scheduling policies.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PolicyName {
-    /// By program, cached prefix and load.
+    /// Scheduling by program, cached prefix and load.
     #[default]
     Default,
-    /// The next engine in turn, first come first served.
+    /// Engines in rotation, calls in order of arrival.
     RoundRobin,
-    /// The engine with the least load, first come first served.
+    /// The engine with the least load, calls in order of arrival.
     LeastLoaded,
-    /// Always the same engine for a program, first come first served.
+    /// Always the same engine for a program, calls in order of arrival.
     Sticky,
 }
 
@@ -223,7 +223,7 @@
     }
 }
 
-/// How work is scheduled; each mechanism can be switched off for a comparison.
+/// The scheduling policy; each mechanism can be switched off for comparisons.
 #[expect(
     clippy::struct_excessive_bools,
     reason = "independent switches of a record"
@@ -231,15 +231,15 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct PolicySpec {
-    /// The way of scheduling.
+    /// Name of the policy.
     pub policy: PolicyName,
     /// Order waiting calls by priority and program instead of arrival.
     pub program_order: bool,
     /// Prefer engines that have a program's prefix cached.
     pub cache_placement: bool,
-    /// Keep prefixes over tool pauses.
+    /// Keep prefixes cached while a program pauses for a tool call.
     pub retention: bool,
-    /// Keep calls waiting here while every engine is full.
+    /// Queue calls in the scheduler while every engine is full.
     pub admission: bool,
 }
 
@@ -256,7 +256,7 @@
 }
 
 impl PolicySpec {
-    /// Returns the mechanisms that are in force: a baseline has none of them.
+    /// Returns the policy with its active mechanisms; every policy but the default is a baseline without any.
     #[must_use]
     pub fn in_force(&self) -> Self {
         if self.policy == PolicyName::Default {
@@ -275,7 +275,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error for a name that is no mechanism.
+    /// Returns [`RecordError::BadField`] if there is no mechanism of that name.
     pub fn switch_off(&mut self, mechanism: &str) -> Result<(), RecordError> {
         let switch = match mechanism {
             "program-order" => &mut self.program_order,
@@ -298,10 +298,10 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DomainState {
-    /// It does; when it can't be reached it may still be serving.
+    /// The failure domain exists; it may be serving even while it is unreachable.
     #[default]
     Live,
-    /// Every instance in it is known to have stopped for good.
+    /// Every instance in the failure domain is known to have stopped permanently.
     Lost,
 }
 
@@ -309,6 +309,6 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct DomainSpec {
-    /// Whether it still exists.
+    /// Whether the failure domain still exists.
     pub state: DomainState,
 }
--- a/src/record/store.rs
+++ b/src/record/store.rs
@@ -1,4 +1,4 @@
-//! The records known to an instance, with revisions that only go up.
+//! The records known to an instance; their revisions only increase.
 
 use std::collections::BTreeMap;
 
@@ -13,45 +13,45 @@
 /// One change of a record, or its removal.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RecordChange {
-    /// Key in the platform's service.
+    /// Key in the key-value service.
     pub key: SmolStr,
-    /// The stored text; `None` where the record was removed.
+    /// The stored text; `None` if the record was removed.
     pub value: Option<String>,
     /// Revision of the change.
     pub revision: RevisionNumber,
 }
 
-/// Changes after some revision, complete up to another.
+/// The changes after a first revision, complete up to a second one.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct RecordDelta {
     /// The changes.
     pub changes: Vec<RecordChange>,
-    /// Revision up to which they are complete.
+    /// Revision up to which the changes are complete.
     pub revision: RevisionNumber,
 }
 
-/// A record with the last version of it that this release could read.
+/// A record with the last version that this release could read.
 #[derive(Clone, Debug)]
 pub struct StoredRecord {
     change: RecordChange,
-    good: Option<RecordSpec>,
+    last_valid: Option<RecordSpec>,
     problem: Option<RecordError>,
 }
 
-/// All records known, with the revision up to which they are complete.
+/// All known records, with the revision up to which they are complete.
 #[derive(Clone, Debug, Default)]
 pub struct RecordStore {
     records: BTreeMap<SmolStr, StoredRecord>,
     revision: RevisionNumber,
 }
 
-/// Key of a record in the platform's service.
+/// Returns the key of a record in the key-value service.
 #[must_use]
 pub fn record_key(kind: RecordKind, name: &str) -> SmolStr {
     format_smolstr!("{RECORD_PREFIX}{kind}/{name}")
 }
 
-/// Lines by which two records differ, each with `-` or `+` before it.
+/// Returns the lines in which two records differ, each prefixed with `-` or `+`.
 #[must_use]
 pub fn record_diff(old: &str, new: &str) -> String {
     let old: Vec<String> = pretty_lines(old);
@@ -84,7 +84,7 @@
         self.revision
     }
 
-    /// Takes changes; older ones than already known are passed over.
+    /// Merges changes; skips those that are not newer than the known state of their record.
     ///
     /// Returns whether anything is new.
     pub fn merge(&mut self, delta: &RecordDelta) -> bool {
@@ -94,9 +94,9 @@
             if known.is_some_and(|known| known.change.revision >= change.revision) {
                 continue;
             }
-            let good = known.and_then(|known| known.good.clone());
+            let last_valid = known.and_then(|known| known.last_valid.clone());
             self.records
-                .insert(change.key.clone(), StoredRecord::read(change, good));
+                .insert(change.key.clone(), StoredRecord::read(change, last_valid));
             changed = true;
         }
         if delta.revision > self.revision {
@@ -106,14 +106,16 @@
         changed
     }
 
-    /// Takes a whole reading of the platform: keys that it does not hold were removed.
+    /// Merges a complete reading of the key-value service; keys that are missing in it count as removed.
+    ///
+    /// Returns whether anything is new.
     pub fn merge_reading(&mut self, mut reading: RecordDelta) -> bool {
         if reading.revision < self.revision {
             return false;
         }
         for (key, known) in &self.records {
-            let held = reading.changes.iter().any(|change| change.key == *key);
-            if held || known.change.value.is_none() {
+            let is_present = reading.changes.iter().any(|change| change.key == *key);
+            if is_present || known.change.value.is_none() {
                 continue;
             }
             reading.changes.push(RecordChange {
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Adds the records up to the configuration in force.
+    /// Builds the configuration from the records.
     #[must_use]
     pub fn view(&self) -> ConfigView {
         let mut view = ConfigView::new(self.revision);
@@ -149,11 +151,11 @@
                 view.add_problem(RecordProblem {
                     key: key.clone(),
                     problem: format_smolstr!("{problem}"),
-                    kept_last_good: record.good.is_some(),
+                    kept_last_good: record.last_valid.is_some(),
                 });
             }
             let name = key.rsplit('/').next().unwrap_or_default();
-            if let Some(spec) = &record.good {
+            if let Some(spec) = &record.last_valid {
                 view.add(name, spec);
             }
         }
@@ -162,23 +164,23 @@
 }
 
 impl StoredRecord {
-    fn read(change: &RecordChange, last_good: Option<RecordSpec>) -> Self {
+    fn read(change: &RecordChange, previous: Option<RecordSpec>) -> Self {
         let Some(text) = &change.value else {
             return Self {
                 change: change.clone(),
-                good: None,
+                last_valid: None,
                 problem: None,
             };
         };
         match RecordEnvelope::parse(text).and_then(|envelope| envelope.read()) {
             Ok(spec) => Self {
                 change: change.clone(),
-                good: Some(spec),
+                last_valid: Some(spec),
                 problem: None,
             },
             Err(problem) => Self {
                 change: change.clone(),
-                good: last_good,
+                last_valid: previous,
                 problem: Some(problem),
             },
         }
@@ -206,7 +208,7 @@
 
     quickcheck! {
         fn order_of_merges_does_not_matter(steps: Vec<(u8, u8)>) -> bool {
-            // One revision changes one key only, as in the platform's service.
+            // Each revision changes only one key, as in the key-value service.
             let mut seen = std::collections::BTreeMap::new();
             for (name, revision) in steps {
                 seen.entry(revision).or_insert(name % 4);
--- a/src/record/view.rs
+++ b/src/record/view.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, as the request path reads it.
+//! The current configuration, as the request path reads it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,19 +13,19 @@
 };
 use crate::ids::{ClassName, DomainId, ModelName, OrganisationId, RevisionNumber, UpstreamName};
 
-/// A record that this release can't use.
+/// Report of a record that this release can't use.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct RecordProblem {
     /// Key of the record.
     pub key: SmolStr,
-    /// What is wrong and what would help.
+    /// What is wrong and how to correct it.
     pub problem: SmolStr,
-    /// Whether the version before it stays in force.
+    /// Whether the last readable version of the record stays in use.
     pub kept_last_good: bool,
 }
 
-/// The configuration in force at one revision; it never changes once made.
+/// The configuration at one revision; immutable once it is built.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigView {
     revision: RevisionNumber,
@@ -40,7 +40,7 @@
 }
 
 impl ConfigView {
-    /// Starts an empty view.
+    /// Creates an empty view.
     #[must_use]
     pub fn new(revision: RevisionNumber) -> Self {
         Self {
@@ -114,11 +114,11 @@
         self.upstreams.iter()
     }
 
-    /// Returns the model that a call means: the one that it asks for, or the one that its class names.
+    /// Returns the model of a call: the one that it requests, else the one that its class names.
     #[must_use]
-    pub fn wanted_model(&self, asked: Option<&ModelName>, class: &str) -> Option<ModelName> {
+    pub fn wanted_model(&self, requested: Option<&ModelName>, class: &str) -> Option<ModelName> {
         let by_class = || self.class(class).map(|class| class.model.clone());
-        asked.cloned().or_else(by_class)
+        requested.cloned().or_else(by_class)
     }
 
     /// Returns whether any upstream serves the model.
@@ -149,13 +149,13 @@
         self.organisation_of.get(&token_hash(token))
     }
 
-    /// Returns whether any organisation is one of operators.
+    /// Returns whether there is an organisation of operators.
     #[must_use]
     pub fn has_operators(&self) -> bool {
         self.organisations.values().any(|spec| spec.operator)
     }
 
-    /// Returns the failure domains that programs may be begun in, in order of their names.
+    /// Returns the failure domains in which programs may be started, sorted by name.
     #[must_use]
     pub fn live_domains(&self) -> Vec<DomainId> {
         let live = self
@@ -165,7 +165,7 @@
         live.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Returns the number of failure domains.
+    /// Returns the number of failure domains, at least 1.
     #[must_use]
     pub fn domain_count(&self) -> usize {
         self.domains.len().max(1)
@@ -179,7 +179,7 @@
             .is_some_and(|spec| spec.state == DomainState::Lost)
     }
 
-    /// Returns how work is scheduled.
+    /// Returns the scheduling policy.
     #[must_use]
     pub fn policy(&self) -> &PolicySpec {
         &self.policy
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an instance: one TOML file, checked as a whole before anything starts.
+//! Settings of an instance: one TOML file, fully validated before the instance starts.
 
 use std::fs;
 use std::io;
@@ -16,7 +16,7 @@
 use crate::shard::ShardSettings;
 use crate::upstream::PollerSettings;
 
-/// Settings that can't be used.
+/// Reason why settings can't be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file can't be read.
@@ -24,7 +24,7 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
     /// A key is unknown or a value has the wrong type.
@@ -35,7 +35,7 @@
     BadValue {
         /// The key with its section.
         key: &'static str,
-        /// What is wrong and what would be right.
+        /// What is wrong and which values are accepted.
         problem: SmolStr,
     },
 }
@@ -44,42 +44,42 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Settings {
-    /// Who the instance is.
+    /// Identity of the instance.
     pub instance: InstanceSection,
-    /// Where it listens.
+    /// Addresses of the listeners.
     pub listen: ListenSection,
-    /// Where the platform is.
+    /// The key-value service, the instance list and the weight store.
     pub platform: PlatformSection,
-    /// Certificates of its links.
+    /// Certificates of the links.
     pub links: LinkSection,
-    /// How shards are kept.
+    /// Replication and retention of shards.
     #[serde(default)]
     pub shards: ShardSection,
-    /// How other instances are watched.
+    /// Probing of other instances.
     #[serde(default)]
     pub membership: MembershipSection,
-    /// How upstreams are read.
+    /// Polling of upstreams.
     #[serde(default)]
     pub upstreams: UpstreamSection,
-    /// Limits towards callers.
+    /// Limits for callers' requests.
     #[serde(default)]
     pub limits: LimitSection,
 }
 
-/// Who the instance is.
+/// Identity of the instance.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct InstanceSection {
-    /// Name, unique in the deployment and kept over restarts.
+    /// Name, unique in the deployment and kept across restarts.
     pub name: InstanceName,
-    /// Failure domain it stands in.
+    /// Failure domain of the instance.
     pub failure_domain: DomainId,
-    /// Folder for bulk data, where the instance has a disk.
+    /// Folder for the stored shard copies, if the instance has a disk.
     #[serde(default)]
     pub data_folder: Option<PathBuf>,
 }
 
-/// Where the instance listens.
+/// Addresses and threads of the listeners.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct ListenSection {
@@ -92,7 +92,7 @@
     /// Event-loop threads for callers.
     #[serde(default = "default_workers")]
     pub workers: usize,
-    /// Threads for everything that is not an event loop.
+    /// Threads of the runtime for all other tasks.
     #[serde(default = "default_runtime_threads")]
     pub runtime_threads: usize,
 }
@@ -105,7 +105,7 @@
     1
 }
 
-/// Where the platform is.
+/// The key-value service, the instance list and the weight store.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct PlatformSection {
@@ -114,16 +114,16 @@
     /// URL of the instance list.
     #[serde(default)]
     pub instance_list: Option<SmolStr>,
-    /// Fixed list of instances, where there is no URL.
+    /// Fixed list of instances, if there is no URL.
     #[serde(default)]
     pub instances: Vec<ListedInstance>,
-    /// Base URL of the weight store, where models are loaded by order.
+    /// Base URL of the weight store, if instances order engines to load models.
     #[serde(default)]
     pub weight_store: Option<SmolStr>,
-    /// Calls a second that this instance allows itself.
+    /// Rate limit of this instance's calls of the key-value service, in calls per second.
     #[serde(default = "default_calls")]
     pub calls_per_second: f64,
-    /// Calls at once after a quiet time.
+    /// Calls that can be made at once after a period without calls.
     #[serde(default = "default_burst")]
     pub call_burst: f64,
 }
@@ -148,21 +148,21 @@
     pub key: PathBuf,
 }
 
-/// How shards are kept.
+/// Replication and retention of shards.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct ShardSection {
-    /// Shards of each failure domain; it counts at the first start of a failure domain only.
+    /// Number of shards of each failure domain; applied only at the first start of a failure domain.
     pub count: u16,
     /// Backups in the shard's own failure domain.
     pub local_backups: usize,
     /// Backups in other failure domains.
     pub remote_backups: usize,
-    /// Longest wait for a backup's answer, in milliseconds.
+    /// Timeout of a backup's reply, in milliseconds.
     pub append_timeout_ms: u64,
-    /// Seconds for which an ended program is remembered.
+    /// Time for which an ended program is retained, in seconds.
     pub remember_seconds: u64,
-    /// Longest time an engine keeps a prefix over a pause, in seconds.
+    /// Longest time for which an engine keeps a prefix during a pause of its program, in seconds.
     pub longest_hold_seconds: u64,
 }
 
@@ -181,7 +181,7 @@
 }
 
 impl ShardSection {
-    /// Returns how the copies are kept.
+    /// Returns the settings of the shard copies.
     #[must_use]
     pub fn copy_settings(&self) -> ShardSettings {
         ShardSettings {
@@ -195,13 +195,13 @@
     }
 }
 
-/// How other instances are watched.
+/// Probing of other instances.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct MembershipSection {
     /// Time between two probes of the same instance, in milliseconds.
     pub probe_interval_ms: u64,
-    /// Silence after which an instance is suspected, in milliseconds.
+    /// Time without a response after which an instance is suspected, in milliseconds.
     pub suspect_after_ms: u64,
     /// Time between two readings of the instance list, in milliseconds.
     pub list_interval_ms: u64,
@@ -230,7 +230,7 @@
     }
 }
 
-/// How upstreams are read.
+/// Polling of upstreams.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct UpstreamSection {
@@ -238,9 +238,9 @@
     pub poll_interval_ms: u64,
     /// Time between two readings of an engine's holds, in milliseconds.
     pub holds_interval_ms: u64,
-    /// Instances of a failure domain that read the same upstream.
+    /// Number of instances of a failure domain that poll the same upstream.
     pub readers: usize,
-    /// Event-loop threads for requests to upstreams and the platform.
+    /// Event-loop threads for requests to upstreams and to the key-value service.
     pub client_threads: usize,
 }
 
@@ -267,7 +267,7 @@
     }
 }
 
-/// Limits towards callers.
+/// Limits for callers' requests.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct LimitSection {
@@ -275,13 +275,13 @@
     pub body_bytes: usize,
     /// Longest time for reading a body, in seconds.
     pub body_seconds: u64,
-    /// Longest time a request waits for its answer before the caller has to ask again, in seconds.
+    /// Longest time a request waits for its response before the caller has to send it again, in seconds.
     pub wait_seconds: u64,
-    /// Longest time a request looks for a primary, in milliseconds.
+    /// Longest time for finding the primary of a request, in milliseconds.
     pub route_ms: u64,
-    /// Time for balancers to notice that the instance is not ready any more, in milliseconds.
+    /// Time for load balancers to notice that the instance is no longer ready, in milliseconds.
     pub linger_ms: u64,
-    /// Longest time of a graceful shutdown, in seconds.
+    /// Time limit of a graceful shutdown, in seconds.
     pub drain_seconds: u64,
 }
 
@@ -299,7 +299,7 @@
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
@@ -312,7 +312,7 @@
         Self::parse(&text)
     }
 
-    /// Parses and checks the text of a settings file.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
     ///
@@ -325,43 +325,43 @@
     }
 
     fn check(&self) -> Result<(), SettingsError> {
-        let wrong = |key, problem: &str| {
+        let bad_value = |key, problem: &str| {
             let problem = problem.into();
             Err(SettingsError::BadValue { key, problem })
         };
-        let plain = |text: &str| {
+        let is_plain_name = |text: &str| {
             let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_".contains(&byte);
             !text.is_empty() && text.bytes().all(allowed)
         };
-        if !plain(&self.instance.name) {
-            return wrong(
+        if !is_plain_name(&self.instance.name) {
+            return bad_value(
                 "instance.name",
                 "has to have letters, digits, `-` or `_` only",
             );
         }
-        if !plain(&self.instance.failure_domain) {
-            return wrong(
+        if !is_plain_name(&self.instance.failure_domain) {
+            return bad_value(
                 "instance.failure-domain",
                 "has to have letters, digits, `-` or `_` only",
             );
         }
         if self.listen.workers == 0 || self.listen.runtime_threads == 0 {
-            return wrong(
+            return bad_value(
                 "listen.workers",
                 "has to be at least 1, as has listen.runtime-threads",
             );
         }
         if !self.platform.key_value.starts_with("http://") {
-            return wrong(
+            return bad_value(
                 "platform.key-value",
                 "has to be a URL such as http://10.0.0.2:2379",
             );
         }
         if self.shards.count == 0 {
-            return wrong("shards.count", "has to be at least 1");
+            return bad_value("shards.count", "has to be at least 1");
         }
         if self.platform.calls_per_second <= 0.0 || self.platform.call_burst < 1.0 {
-            return wrong(
+            return bad_value(
                 "platform.calls-per-second",
                 "has to be above 0, and call-burst at least 1",
             );
@@ -370,7 +370,7 @@
         if membership.probe_interval_ms == 0
             || membership.suspect_after_ms < membership.probe_interval_ms * 2
         {
-            return wrong(
+            return bad_value(
                 "membership.suspect-after-ms",
                 "has to be at least twice membership.probe-interval-ms, which has to be above 0",
             );
@@ -383,7 +383,7 @@
 mod tests {
     use super::*;
 
-    const GOOD: &str = r#"
+    const MINIMAL: &str = r#"
 [instance]
 name = "bilbao-a-0"
 failure-domain = "bilbao-a"
@@ -400,14 +400,14 @@
 "#;
 
     #[test]
-    fn smallest_file_is_enough() {
-        let settings = Settings::parse(GOOD).expect("valid settings");
+    fn required_keys_suffice() {
+        let settings = Settings::parse(MINIMAL).expect("valid settings");
         assert_eq!(settings.shards.count, 8);
     }
 
     #[test]
     fn unknown_key_is_named_with_its_line() {
-        let text = format!("{GOOD}[limits]\nbody-byte = 5\n");
+        let text = format!("{MINIMAL}[limits]\nbody-byte = 5\n");
         let error = Settings::parse(&text)
             .expect_err("an unknown key")
             .to_string();
@@ -419,7 +419,7 @@
 
     #[test]
     fn value_out_of_range_is_named_with_a_remedy() {
-        let text = format!("{GOOD}[shards]\ncount = 0\n");
+        let text = format!("{MINIMAL}[shards]\ncount = 0\n");
         let error = Settings::parse(&text).expect_err("a bad value").to_string();
         assert!(
             error.contains("shards.count") && error.contains("at least 1"),
--- a/src/shard/primary/tenure.rs
+++ b/src/shard/primary/tenure.rs
@@ -243,7 +243,7 @@
         let now = Instant::now();
         let fits = |record: &&PeerRecord| {
             (record.domain == self.shard.domain) == local
-                && record.heard.is_some()
+                && record.last_response.is_some()
                 && !record.leaving
                 && !view.suspects(&record.instance, now)
                 && !self
--- a/src/storage/store.rs
+++ b/src/storage/store.rs
@@ -1,4 +1,4 @@
-//! The database of an instance's copies: opened, read once at the start, then only written.
+//! The database of an instance's shard copies: read once at the start, then only written.
 
 use std::fs;
 use std::io;
@@ -21,16 +21,16 @@
 /// File of the database within the data folder.
 const FILE_NAME: &str = "copies.redb";
 
-/// Bytes of a checksum before every value.
+/// Length of the checksum before every value, in bytes.
 const CHECKSUM_BYTES: usize = 16;
 
-/// Whole copies by shard.
+/// Snapshots by shard.
 pub(super) const COPIES: TableDefinition<&str, &[u8]> = TableDefinition::new("copies");
 
-/// Entries after the whole copy, by shard and index.
+/// Entries after the snapshot, by shard and index.
 pub(super) const ENTRIES: TableDefinition<(&str, u64), &[u8]> = TableDefinition::new("entries");
 
-/// A data folder that can't be used.
+/// Reason why a data folder can't be used.
 #[derive(Debug, Error)]
 pub enum StorageError {
     /// The folder or a file can't be read or written.
@@ -38,7 +38,7 @@
     Folder {
         /// The path.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
     /// Another process has the database open.
@@ -47,11 +47,11 @@
     )]
     InUse,
     /// The database can't be used.
-    #[error("the database can't be used: {0}; the instance goes on without its disk")]
+    #[error("the database can't be used: {0}; the instance continues without its disk")]
     Database(SmolStr),
 }
 
-/// A whole copy as it is stored.
+/// A snapshot as it is stored.
 #[derive(Debug, Deserialize, Serialize)]
 struct StoredCopy {
     epoch: ShardEpoch,
@@ -71,15 +71,15 @@
 pub struct RecoveredCopy {
     /// The shard.
     pub shard: ShardId,
-    /// Epoch of the last entry or whole copy.
+    /// Epoch of the last entry, or of the snapshot if no entry follows it.
     pub epoch: ShardEpoch,
-    /// Last place of the copy.
+    /// Position of the last entry of the copy.
     pub position: LogPosition,
     /// The programs.
     pub table: ProgramTable,
 }
 
-/// The database of an instance's copies; cloning it gives another handle to the same one.
+/// Handle to the database of an instance's shard copies; clones refer to the same database.
 #[derive(Clone, Debug)]
 pub struct BulkStore {
     path: PathBuf,
@@ -87,42 +87,42 @@
     failed: Arc<AtomicBool>,
 }
 
-fn database<Source>(error: Source) -> StorageError
+fn database_error<Source>(error: Source) -> StorageError
 where
     Source: std::fmt::Display,
 {
     StorageError::Database(error.to_smolstr())
 }
 
-/// Puts a checksum before a value.
-fn seal<Value>(value: &Value) -> Result<Vec<u8>, StorageError>
+/// Serialises a value and prefixes it with its checksum.
+fn encode_with_checksum<Value>(value: &Value) -> Result<Vec<u8>, StorageError>
 where
     Value: Serialize,
 {
-    let body = postcard::to_stdvec(value).map_err(database)?;
-    let mut sealed = blake3::hash(&body).as_bytes()[..CHECKSUM_BYTES].to_vec();
-    sealed.extend_from_slice(&body);
-    Ok(sealed)
+    let body = postcard::to_stdvec(value).map_err(database_error)?;
+    let mut encoded = blake3::hash(&body).as_bytes()[..CHECKSUM_BYTES].to_vec();
+    encoded.extend_from_slice(&body);
+    Ok(encoded)
 }
 
-/// Reads a value whose checksum is right.
-fn unseal<Value>(bytes: &[u8]) -> Option<Value>
+/// Deserialises a value; returns `None` if its checksum does not match.
+fn decode_verified<Value>(bytes: &[u8]) -> Option<Value>
 where
     Value: DeserializeOwned,
 {
     let (checksum, body) = bytes.split_at_checked(CHECKSUM_BYTES)?;
-    let whole = blake3::hash(body).as_bytes()[..CHECKSUM_BYTES] == *checksum;
-    whole.then(|| postcard::from_bytes(body).ok()).flatten()
+    let complete = blake3::hash(body).as_bytes()[..CHECKSUM_BYTES] == *checksum;
+    complete.then(|| postcard::from_bytes(body).ok()).flatten()
 }
 
 impl BulkStore {
     /// Opens the database in a folder and reads the complete copies in it.
     ///
-    /// A database that can't be read is put aside: what it held is got from the primaries again.
+    /// A database that can't be read is renamed; the instance gets its copies from the primaries again.
     ///
     /// # Errors
     ///
-    /// Returns [`StorageError`] where the folder can't be used at all.
+    /// Returns [`StorageError`] if the folder can't be used, or another process has the database open.
     pub fn open(folder: &Path) -> Result<(Self, Vec<RecoveredCopy>), StorageError> {
         let failed = |error| StorageError::Folder {
             path: folder.to_owned(),
@@ -130,15 +130,18 @@
         };
         fs::create_dir_all(folder).map_err(failed)?;
         let path = folder.join(FILE_NAME);
-        // The library may panic on a file that was cut off in the middle.
+        // redb may panic on a truncated file.
         let opened = std::panic::catch_unwind(|| open_database(&path));
-        let opened = opened.unwrap_or_else(|_| Err(database("the file is damaged")));
+        let opened = opened.unwrap_or_else(|_| Err(database_error("the file is damaged")));
         let (database, copies) = match opened {
             Ok(opened) => opened,
-            // Another process still has it; that is no damage.
+            // Another process still has the database open, so the file is not damaged.
             Err(error @ StorageError::InUse) => return Err(error),
             Err(error) => {
-                log::error!("database put aside path={} error={error}", path.display());
+                log::error!(
+                    "unreadable database renamed path={} error={error}",
+                    path.display()
+                );
                 fs::rename(&path, folder.join("copies.damaged")).map_err(failed)?;
                 open_database(&path)?
             }
@@ -151,13 +154,13 @@
         Ok((store, copies))
     }
 
-    /// Returns whether the disk has failed, so that nothing is kept on it any more.
+    /// Returns whether the disk has failed, after which nothing is written to it.
     #[must_use]
     pub fn has_failed(&self) -> bool {
         self.failed.load(Ordering::Relaxed)
     }
 
-    /// Stores entries after a place; returns once they are on disk.
+    /// Stores the entries that follow a position; returns once they are on disk.
     pub async fn append(
         &self,
         shard: &ShardId,
@@ -171,15 +174,15 @@
                 epoch,
                 entry: entry.clone(),
             };
-            match seal(&stored) {
+            match encode_with_checksum(&stored) {
                 Ok(row) => rows.push((previous.index + offset, row)),
-                Err(error) => return self.give_up(&error),
+                Err(error) => return self.disable(&error),
             }
         }
         self.write(WriteJob::Append(shard.to_smolstr(), rows)).await;
     }
 
-    /// Stores a whole copy in place of what there was; returns once it is on disk.
+    /// Replaces a shard's stored copy with a snapshot; returns once it is on disk.
     pub async fn replace(
         &self,
         shard: &ShardId,
@@ -192,9 +195,9 @@
             position,
             table: table.clone(),
         };
-        match seal(&stored) {
+        match encode_with_checksum(&stored) {
             Ok(row) => self.write(WriteJob::Replace(shard.to_smolstr(), row)).await,
-            Err(error) => self.give_up(&error),
+            Err(error) => self.disable(&error),
         }
     }
 
@@ -211,20 +214,22 @@
         self.writer.send(job, done);
         match outcome.await {
             Ok(Ok(())) => {}
-            Ok(Err(error)) => self.give_up(&StorageError::Database(error)),
-            Err(_) => self.give_up(&StorageError::Database("its thread has ended".into())),
+            Ok(Err(error)) => self.disable(&StorageError::Database(error)),
+            Err(_) => self.disable(&StorageError::Database(
+                "the writer thread has ended".into(),
+            )),
         }
     }
 
-    /// Goes on without the disk.
+    /// Disables the disk after a failure.
     ///
-    /// What is on it is incomplete from now on, so it is removed: a later process must not take it
-    /// for complete. Removing a file works on a full disk too.
-    fn give_up(&self, error: &StorageError) {
+    /// The stored copies are incomplete from now on. The file is removed so that a later process does not
+    /// mistake them for complete ones. Removing a file works on a full disk, too.
+    fn disable(&self, error: &StorageError) {
         if self.failed.swap(true, Ordering::Relaxed) {
             return;
         }
-        log::error!("disk given up path={} error={error}", self.path.display());
+        log::error!("disk disabled path={} error={error}", self.path.display());
         if let Err(error) = fs::remove_file(&self.path) {
             log::error!(
                 "file not removed path={} error={error}",
@@ -237,29 +242,29 @@
 fn open_database(path: &Path) -> Result<(Database, Vec<RecoveredCopy>), StorageError> {
     let opened = Database::create(path).map_err(|error| match error {
         DatabaseError::DatabaseAlreadyOpen => StorageError::InUse,
-        other => database(other),
+        other => database_error(other),
     })?;
-    let begun = opened.begin_write().map_err(database)?;
-    begun.open_table(COPIES).map_err(database)?;
-    begun.open_table(ENTRIES).map_err(database)?;
-    begun.commit().map_err(database)?;
+    let transaction = opened.begin_write().map_err(database_error)?;
+    transaction.open_table(COPIES).map_err(database_error)?;
+    transaction.open_table(ENTRIES).map_err(database_error)?;
+    transaction.commit().map_err(database_error)?;
     let copies = read_copies(&opened)?;
     Ok((opened, copies))
 }
 
 fn read_copies(opened: &Database) -> Result<Vec<RecoveredCopy>, StorageError> {
-    let reading = opened.begin_read().map_err(database)?;
-    let copies = reading.open_table(COPIES).map_err(database)?;
-    let entries = reading.open_table(ENTRIES).map_err(database)?;
+    let transaction = opened.begin_read().map_err(database_error)?;
+    let copies = transaction.open_table(COPIES).map_err(database_error)?;
+    let entries = transaction.open_table(ENTRIES).map_err(database_error)?;
     let mut recovered = Vec::new();
-    for row in copies.iter().map_err(database)? {
-        let (key, value) = row.map_err(database)?;
+    for row in copies.iter().map_err(database_error)? {
+        let (key, value) = row.map_err(database_error)?;
         let name = key.value();
         let Some(shard) = parse_shard(name) else {
             continue;
         };
-        let Some(stored) = unseal::<StoredCopy>(value.value()) else {
-            log::error!("damaged copy passed over shard={name}");
+        let Some(stored) = decode_verified::<StoredCopy>(value.value()) else {
+            log::error!("damaged copy skipped shard={name}");
             continue;
         };
         let mut copy = RecoveredCopy {
@@ -269,16 +274,16 @@
             table: stored.table,
         };
         let range = (name, copy.position.index + 1)..=(name, u64::MAX);
-        let mut whole = true;
-        for row in entries.range(range).map_err(database)? {
-            let (key, value) = row.map_err(database)?;
-            whole = copy.apply(key.value().1, value.value());
-            if !whole {
+        let mut complete = true;
+        for row in entries.range(range).map_err(database_error)? {
+            let (key, value) = row.map_err(database_error)?;
+            complete = copy.apply(key.value().1, value.value());
+            if !complete {
                 log::error!("damaged entry shard={name} index={}", key.value().1);
                 break;
             }
         }
-        if whole {
+        if complete {
             recovered.push(copy);
         }
     }
@@ -294,9 +299,9 @@
 }
 
 impl RecoveredCopy {
-    /// Applies a stored entry; returns whether it is undamaged and the next one.
+    /// Applies a stored entry; returns whether the entry is undamaged and directly follows the last one.
     fn apply(&mut self, index: u64, bytes: &[u8]) -> bool {
-        let Some(stored) = unseal::<StoredEntry>(bytes) else {
+        let Some(stored) = decode_verified::<StoredEntry>(bytes) else {
             return false;
         };
         if index != self.position.index + 1 {
@@ -325,8 +330,8 @@
         }
     }
 
-    /// Opens a store again whose thread may still be about to end.
-    fn open_again(folder: &Path) -> Vec<RecoveredCopy> {
+    /// Reopens a store; retries while the writer thread of the earlier handle still has the database open.
+    fn reopen(folder: &Path) -> Vec<RecoveredCopy> {
         loop {
             match BulkStore::open(folder) {
                 Ok((_, recovered)) => return recovered,
@@ -351,14 +356,14 @@
     async fn copy_is_found_again() {
         let folder = TempDir::new().expect("a folder");
         fill(folder.path()).await;
-        let recovered = open_again(folder.path());
+        let recovered = reopen(folder.path());
         assert_eq!(recovered.len(), 1);
         assert_eq!(recovered[0].position, LogPosition { epoch: 2, index: 9 });
         assert_eq!(recovered[0].shard, shard());
     }
 
     #[tokio::test]
-    async fn damaged_file_is_put_aside_or_its_copy_passed_over() {
+    async fn damaged_file_or_copy_is_not_used() {
         let folder = TempDir::new().expect("a folder");
         fill(folder.path()).await;
         let path = folder.path().join(FILE_NAME);
@@ -367,19 +372,19 @@
             *byte = !*byte;
         }
         fs::write(&path, bytes).expect("a damaged file");
-        assert!(open_again(folder.path()).is_empty());
+        assert!(reopen(folder.path()).is_empty());
     }
 
     #[test]
-    fn changed_byte_is_noticed() {
-        let mut bytes = seal(&StoredEntry {
+    fn changed_byte_fails_the_checksum() {
+        let mut bytes = encode_with_checksum(&StoredEntry {
             epoch: 1,
             entry: LogEntry::Forget("p".into()),
         })
-        .expect("a sealed value");
-        assert!(unseal::<StoredEntry>(&bytes).is_some());
+        .expect("an encoded value");
+        assert!(decode_verified::<StoredEntry>(&bytes).is_some());
         let last = bytes.len() - 1;
         bytes[last] ^= 1;
-        assert!(unseal::<StoredEntry>(&bytes).is_none());
+        assert!(decode_verified::<StoredEntry>(&bytes).is_none());
     }
 }
--- a/src/storage/writer.rs
+++ b/src/storage/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes to disk: jobs that wait at the same time share one commit.
+//! The thread that writes to disk: jobs that are queued at the same time share one commit.
 
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
@@ -9,56 +9,56 @@
 
 use super::store::{COPIES, ENTRIES};
 
-/// What to write.
+/// A change to be written to disk.
 #[derive(Debug)]
 pub enum WriteJob {
-    /// Entries by their index.
+    /// Store entries by their index.
     Append(SmolStr, Vec<(u64, Vec<u8>)>),
-    /// A whole copy; the entries before it are removed.
+    /// Store a snapshot and remove all stored entries of the shard.
     Replace(SmolStr, Vec<u8>),
-    /// Remove everything of a shard.
+    /// Remove a shard's snapshot and entries.
     Remove(SmolStr),
 }
 
-/// Why a job failed.
+/// Result of a job; the error says why it failed.
 type WriteOutcome = Result<(), SmolStr>;
 
-type WaitingJob = (WriteJob, oneshot::Sender<WriteOutcome>);
+type QueuedJob = (WriteJob, oneshot::Sender<WriteOutcome>);
 
-/// Sends jobs to the thread; cloning it is cheap.
+/// Sends jobs to the writer thread; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct DiskWriter {
-    jobs: Sender<WaitingJob>,
+    jobs: Sender<QueuedJob>,
 }
 
 impl DiskWriter {
-    /// Starts the thread, which ends with the last sender.
+    /// Starts the thread, which ends when the last clone of the writer is dropped.
     pub fn start(database: Database) -> Self {
         let (jobs, receiver) = channel();
         thread::spawn(move || write_jobs(&database, &receiver));
         Self { jobs }
     }
 
-    /// Sends a job; the outcome comes once it is on disk.
+    /// Sends a job; its outcome is sent to `done` once the job is on disk.
     pub fn send(&self, job: WriteJob, done: oneshot::Sender<WriteOutcome>) {
-        // Where the thread has ended the outcome's sender is dropped, which tells as much.
+        // If the thread has ended, `done` is dropped, which the receiver sees as an error.
         let _ = self.jobs.send((job, done));
     }
 }
 
-fn write_jobs(database: &Database, jobs: &Receiver<WaitingJob>) {
+fn write_jobs(database: &Database, jobs: &Receiver<QueuedJob>) {
     while let Ok(first) = jobs.recv() {
         let mut batch = vec![first];
         batch.extend(jobs.try_iter());
         let outcome = write_batch(database, &batch);
         for (_, done) in batch {
-            // Whoever is gone does not need the outcome.
+            // A receiver that was dropped does not need the outcome.
             let _ = done.send(outcome.clone());
         }
     }
 }
 
-fn write_batch(database: &Database, batch: &[WaitingJob]) -> WriteOutcome {
+fn write_batch(database: &Database, batch: &[QueuedJob]) -> WriteOutcome {
     let transaction = database.begin_write().map_err(|error| error.to_smolstr())?;
     for (job, _) in batch {
         write_job(&transaction, job)?;
