--- a/src/instance/mod.rs
+++ b/src/instance/mod.rs
@@ -43,7 +43,7 @@
 use records::RecordCache;
 use shards::ShardHost;
 
-/// Shard snapshots that an instance sends at the same time.
+/// Maximum number of shard snapshots that an instance sends concurrently.
 const INSTALL_PERMITS: usize = 2;
 
 /// Everything needed to start an instance.
