--- a/src/shard/primary/tenure.rs
+++ b/src/shard/primary/tenure.rs
@@ -245,7 +245,7 @@
         let now = Instant::now();
         let is_candidate = |record: &&PeerRecord| {
             (record.domain == self.shard.domain) == local
-                && record.heard.is_some()
+                && record.last_response.is_some()
                 && !record.leaving
                 && !view.suspects(&record.instance, now)
                 && !self
