--- a/crates/samphiregrade-bench/src/audit.rs
+++ b/crates/samphiregrade-bench/src/audit.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use samphiregrade::contract::RanState;
-use samphiregrade::workload::{CallNote, ProgramNote, ProgramVerdict};
+use samphiregrade::workload::{ObservedCall, ObservedProgram, ProgramVerdict};
 use samphiregrade_standins::engine::AuditEntry;
 use smol_str::SmolStr;
 
@@ -87,7 +87,7 @@
 #[must_use]
 pub fn audit(
     cluster: &Cluster,
-    notes: &[ProgramNote],
+    notes: &[ObservedProgram],
     faults: &FaultLog,
 ) -> (ViolationCounts, CacheCounts) {
     let log = ExecutionLog::read(cluster);
@@ -101,7 +101,7 @@
     (counts, count_cache(&log))
 }
 
-fn audit_program(note: &ProgramNote, log: &ExecutionLog, counts: &mut ViolationCounts) {
+fn audit_program(note: &ObservedProgram, log: &ExecutionLog, counts: &mut ViolationCounts) {
     counts.wrong_answer += u64::from(note.wrong_answers);
     for call in &note.calls {
         audit_call(call, log, counts);
@@ -130,12 +130,12 @@
     }
 }
 
-fn audit_call(call: &CallNote, log: &ExecutionLog, counts: &mut ViolationCounts) {
+fn audit_call(call: &ObservedCall, log: &ExecutionLog, counts: &mut ViolationCounts) {
     let executions = log.executions(&call.key);
     if !call.idempotent && executions.len() > 1 {
         counts.duplicate_non_idempotent += 1;
     }
-    if call.told == Some(RanState::No) && !executions.is_empty() {
+    if call.reported_ran == Some(RanState::No) && !executions.is_empty() {
         counts.false_not_run += 1;
     }
     let Some(wanted) = call.prompt_digest else {
@@ -208,7 +208,7 @@
 
 /// Returns from an interruption to the answer, for the calls that each one caught.
 #[must_use]
-pub fn recovery_times(notes: &[ProgramNote], faults: &FaultLog) -> Vec<Duration> {
+pub fn recovery_times(notes: &[ObservedProgram], faults: &FaultLog) -> Vec<Duration> {
     let calls = notes.iter().flat_map(|note| &note.calls);
     let caught = calls.filter(|call| call.attempts > 1);
     caught
--- a/crates/samphiregrade-bench/src/run.rs
+++ b/crates/samphiregrade-bench/src/run.rs
@@ -12,7 +12,7 @@
 use futures_util::future::join_all;
 use samphiregrade::client::CallerClient;
 use samphiregrade::record::PolicySpec;
-use samphiregrade::workload::{Deployment, ProgramNote, ProgramVerdict, run_program};
+use samphiregrade::workload::{Deployment, ObservedProgram, ProgramVerdict, run_program};
 use samphiregrade_standins::engine::EngineSettings;
 use smol_str::{SmolStr, format_smolstr};
 
@@ -119,7 +119,7 @@
     let patience = scenario.duration + scenario.drain;
     let callers: Vec<CallerClient> = domains
         .iter()
-        .map(|domain| cluster.caller(domain).with_patience(patience))
+        .map(|domain| cluster.caller(domain).with_retry_timeout(patience))
         .map(|caller| caller.with_attempt_timeout(Duration::from_secs(10)))
         .collect();
     let before = cluster.key_value.stats();
@@ -182,7 +182,7 @@
     domains: &[SmolStr],
     scenario: &Scenario,
     progress: bool,
-) -> Vec<ProgramNote> {
+) -> Vec<ObservedProgram> {
     let done = Rc::new(RefCell::new(0_usize));
     let runs = arrivals.iter().enumerate().map(|(number, arrival)| {
         let done = done.clone();
@@ -300,7 +300,7 @@
     count
 }
 
-fn count_programs(notes: &[ProgramNote]) -> ProgramCounts {
+fn count_programs(notes: &[ObservedProgram]) -> ProgramCounts {
     let mut counts = ProgramCounts::default();
     for note in notes {
         counts.begun += 1;
@@ -314,7 +314,7 @@
     counts
 }
 
-fn latencies(notes: &[ProgramNote]) -> BTreeMap<SmolStr, TimeQuantiles> {
+fn latencies(notes: &[ObservedProgram]) -> BTreeMap<SmolStr, TimeQuantiles> {
     let mut classes: BTreeMap<SmolStr, Vec<Duration>> = BTreeMap::new();
     for note in notes {
         classes
@@ -329,7 +329,7 @@
         .collect()
 }
 
-fn failures(notes: &[ProgramNote]) -> BTreeMap<SmolStr, u64> {
+fn failures(notes: &[ObservedProgram]) -> BTreeMap<SmolStr, u64> {
     let mut failures = BTreeMap::new();
     for failure in notes.iter().filter_map(|note| note.failure.clone()) {
         *failures.entry(failure).or_default() += 1;
--- a/src/client.rs
+++ b/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller of the system: it retries until it has a final answer.
+//! Client of the callers' interface, which retries a request until it has a final response.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -16,41 +16,43 @@
 };
 use crate::ids::{ProgramId, SequenceNumber};
 
-/// Shortest and longest pause between two attempts.
-const RETRY_PAUSES: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(2));
+/// Shortest and longest delay between two attempts.
+const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(2));
 
-/// Why a caller got no answer.
+/// Reason why a request has no successful response.
 #[derive(Clone, Debug, Error)]
 pub enum ClientError {
-    /// The system has refused for good.
+    /// The system refused the request permanently.
     #[error("refused: {}; {}", .0.title, .0.remedy)]
     Refused(ProblemBody),
-    /// No instance gave a final answer within the patience of the caller.
-    #[error("no final answer within the time ({0}); ask again with the same key")]
-    OutOfPatience(SmolStr),
+    /// No instance sent a final response within the retry timeout. Holds the failure of the last attempt.
+    #[error(
+        "no final response within the retry timeout ({0}); send the request again with the same key"
+    )]
+    RetryTimeout(SmolStr),
 }
 
 impl ClientError {
-    /// Returns what the system said about whether the request ran, where it said anything.
+    /// Returns whether the request ran, if the system reported it.
     #[must_use]
     pub fn ran(&self) -> Option<RanState> {
         match self {
             Self::Refused(problem) => Some(problem.ran),
-            Self::OutOfPatience(_) => None,
+            Self::RetryTimeout(_) => None,
         }
     }
 }
 
-/// A final answer with what it took to get it.
+/// Final response and the number of attempts made for it.
 #[derive(Clone, Debug)]
-pub struct ClientAnswer<Body> {
-    /// The answer.
+pub struct ClientResponse<Body> {
+    /// Body of the response.
     pub body: Body,
-    /// Attempts made.
+    /// Number of attempts.
     pub attempts: u32,
 }
 
-/// A caller; cloning it is cheap.
+/// Client of one organisation. Clones share the connection pool and the recorded failures.
 #[derive(Clone, Debug)]
 pub struct CallerClient {
     pool: HttpPool,
@@ -59,11 +61,11 @@
     failures: Arc<Mutex<Vec<AttemptFailure>>>,
     closed: Arc<Mutex<BTreeSet<SmolStr>>>,
     token: SmolStr,
-    patience: Duration,
+    retry_timeout: Duration,
     attempt_timeout: Duration,
 }
 
-/// An attempt that brought no response.
+/// Attempt without a complete response.
 #[derive(Clone, Debug)]
 pub struct AttemptFailure {
     /// Base URL of the instance.
@@ -72,15 +74,15 @@
     pub at: Instant,
 }
 
-/// What one attempt brought.
-enum AttemptEnd {
-    Answer(Vec<u8>),
+/// Result of one attempt.
+enum AttemptResult {
+    Response(Vec<u8>),
     Refused(ProblemBody, Option<Duration>),
     Failed(SmolStr),
 }
 
 impl CallerClient {
-    /// Makes a caller that knows some instances' base URLs.
+    /// Creates a client that sends to the instances with these base URLs.
     #[must_use]
     pub fn new(pool: HttpPool, entries: Vec<SmolStr>, token: SmolStr) -> Self {
         Self {
@@ -90,19 +92,19 @@
             failures: Arc::default(),
             closed: Arc::default(),
             token,
-            patience: Duration::from_mins(2),
+            retry_timeout: Duration::from_mins(2),
             attempt_timeout: Duration::from_secs(40),
         }
     }
 
-    /// Prefers the first few of the known instances; the others are for when these fail.
+    /// Prefers the first `preferred` instances; the others are used only if these fail.
     #[must_use]
     pub fn with_preferred(mut self, preferred: usize) -> Self {
         self.preferred = preferred;
         self
     }
 
-    /// Returns the attempts that brought no response.
+    /// Returns the attempts without a complete response.
     #[must_use]
     pub fn failures(&self) -> Vec<AttemptFailure> {
         self.failures
@@ -111,7 +113,7 @@
             .clone()
     }
 
-    /// Stops or begins to send to an instance, as a balancer does that asks for its readiness.
+    /// Stops or resumes sending to an instance, as a load balancer does after a readiness check.
     pub fn set_closed(&self, entry: &SmolStr, closed: bool) {
         let mut entries = self.closed.lock().unwrap_or_else(PoisonError::into_inner);
         if closed {
@@ -121,16 +123,17 @@
         }
     }
 
-    /// Returns the instance of a number, or the next one that is not closed.
+    /// Returns the instance at a position, or the next one that is not closed. If all are closed, returns the one at
+    /// the position.
     fn entry(&self, number: usize) -> Option<&SmolStr> {
         let closed = self.closed.lock().unwrap_or_else(PoisonError::into_inner);
         let count = self.entries.len();
-        let in_turn = (0..count).map(|step| &self.entries[(number + step) % count]);
-        let open = in_turn.clone().find(|entry| !closed.contains(*entry));
-        open.or(in_turn.into_iter().next())
+        let candidates = (0..count).map(|step| &self.entries[(number + step) % count]);
+        let open = candidates.clone().find(|entry| !closed.contains(*entry));
+        open.or(candidates.into_iter().next())
     }
 
-    fn note_failure(&self, entry: &SmolStr) {
+    fn record_failure(&self, entry: &SmolStr) {
         let failure = AttemptFailure {
             entry: entry.clone(),
             at: Instant::now(),
@@ -141,33 +144,33 @@
             .push(failure);
     }
 
-    /// Replaces the time over which the caller retries.
+    /// Sets the time during which failed attempts are repeated.
     #[must_use]
-    pub fn with_patience(mut self, patience: Duration) -> Self {
-        self.patience = patience;
+    pub fn with_retry_timeout(mut self, timeout: Duration) -> Self {
+        self.retry_timeout = timeout;
         self
     }
 
-    /// Replaces the time after which an attempt counts as failed.
+    /// Sets the time after which an attempt counts as failed.
     #[must_use]
     pub fn with_attempt_timeout(mut self, timeout: Duration) -> Self {
         self.attempt_timeout = timeout;
         self
     }
 
-    /// Begins a program.
+    /// Starts a program.
     ///
     /// # Errors
     ///
-    /// Returns [`ClientError`] after a final refusal or with the patience at its end.
+    /// Returns [`ClientError`] after a permanent refusal or when the retry timeout has passed.
     pub async fn begin(
         &self,
         request: &BeginRequest,
-    ) -> Result<ClientAnswer<BeginReply>, ClientError> {
+    ) -> Result<ClientResponse<BeginReply>, ClientError> {
         self.post("/v1/programs", request).await
     }
 
-    /// Makes a call; the answer is the body as the system stored it.
+    /// Makes a call and returns the response body that the system stored.
     ///
     /// # Errors
     ///
@@ -177,7 +180,7 @@
         program: &ProgramId,
         sequence: SequenceNumber,
         body: &CallBody,
-    ) -> Result<ClientAnswer<serde_json::Value>, ClientError> {
+    ) -> Result<ClientResponse<serde_json::Value>, ClientError> {
         self.post(
             &format_smolstr!("/v1/programs/{program}/calls/{sequence}"),
             body,
@@ -193,7 +196,7 @@
     pub async fn end(
         &self,
         program: &ProgramId,
-    ) -> Result<ClientAnswer<ProgramReply>, ClientError> {
+    ) -> Result<ClientResponse<ProgramReply>, ClientError> {
         self.post(
             &format_smolstr!("/v1/programs/{program}/end"),
             &serde_json::json!({}),
@@ -201,12 +204,12 @@
         .await
     }
 
-    /// Posts a body until there is a final answer.
+    /// Posts a body and retries until there is a final response.
     async fn post<Body, Reply>(
         &self,
         path: &str,
         body: &Body,
-    ) -> Result<ClientAnswer<Reply>, ClientError>
+    ) -> Result<ClientResponse<Reply>, ClientError>
     where
         Body: Serialize,
         Reply: DeserializeOwned,
@@ -214,45 +217,45 @@
         let started = tokio::time::Instant::now();
         let mut attempts = 0;
         let mut entry = rand::rng().random_range(0..self.preferred.max(1));
-        let mut pause = RETRY_PAUSES.0;
+        let mut delay = RETRY_DELAYS.0;
         loop {
             attempts += 1;
             let (failure, wait) = match self.attempt(entry, path, body).await {
-                AttemptEnd::Answer(bytes) => match serde_json::from_slice(&bytes) {
-                    Ok(body) => return Ok(ClientAnswer { body, attempts }),
-                    Err(error) => (format_smolstr!("unreadable answer: {error}"), None),
+                AttemptResult::Response(bytes) => match serde_json::from_slice(&bytes) {
+                    Ok(body) => return Ok(ClientResponse { body, attempts }),
+                    Err(error) => (format_smolstr!("invalid response body: {error}"), None),
                 },
-                AttemptEnd::Refused(problem, _) if !problem.transient => {
+                AttemptResult::Refused(problem, _) if !problem.transient => {
                     return Err(ClientError::Refused(problem));
                 }
-                AttemptEnd::Refused(problem, wait) => {
+                AttemptResult::Refused(problem, wait) => {
                     if problem.kind == RefusalKind::ShuttingDown.name() {
-                        // This instance may go on refusing for a minute, while others serve.
+                        // This instance may refuse requests for another minute, while others serve them.
                         entry += 1;
                     }
                     (problem.title, wait)
                 }
-                AttemptEnd::Failed(failure) => {
+                AttemptResult::Failed(failure) => {
                     entry += 1;
                     (failure, None)
                 }
             };
-            if started.elapsed() > self.patience {
-                return Err(ClientError::OutOfPatience(failure));
+            if started.elapsed() > self.retry_timeout {
+                return Err(ClientError::RetryTimeout(failure));
             }
-            // Callers that were refused together must not come back together.
+            // Callers that were refused at the same time must not retry at the same time.
             let jitter = rand::rng().random_range(0.8..1.2);
-            tokio::time::sleep(wait.unwrap_or(pause).mul_f64(jitter)).await;
-            pause = (pause * 2).min(RETRY_PAUSES.1);
+            tokio::time::sleep(wait.unwrap_or(delay).mul_f64(jitter)).await;
+            delay = (delay * 2).min(RETRY_DELAYS.1);
         }
     }
 
-    async fn attempt<Body>(&self, entry: usize, path: &str, body: &Body) -> AttemptEnd
+    async fn attempt<Body>(&self, entry: usize, path: &str, body: &Body) -> AttemptResult
     where
         Body: Serialize,
     {
         let Some(base) = self.entry(entry) else {
-            return AttemptEnd::Failed("no instance is known".into());
+            return AttemptResult::Failed("the client has no instances".into());
         };
         let request = OutgoingRequest::post_json(&format_smolstr!("{base}{path}"), body)
             .with_header("authorization", &format!("Bearer {}", self.token))
@@ -260,8 +263,8 @@
         let mut response = match self.pool.send(request).await {
             Ok(response) => response,
             Err(error) => {
-                self.note_failure(base);
-                return AttemptEnd::Failed(format_smolstr!("{error}"));
+                self.record_failure(base);
+                return AttemptResult::Failed(format_smolstr!("{error}"));
             }
         };
         let wait = response
@@ -274,16 +277,16 @@
         let bytes = match response.read_all().await {
             Ok(bytes) => bytes,
             Err(error) => {
-                self.note_failure(base);
-                return AttemptEnd::Failed(format_smolstr!("{error}"));
+                self.record_failure(base);
+                return AttemptResult::Failed(format_smolstr!("{error}"));
             }
         };
         if !problem && response.status < 500 {
-            return AttemptEnd::Answer(bytes.to_vec());
+            return AttemptResult::Response(bytes.to_vec());
         }
         match serde_json::from_slice(&bytes) {
-            Ok(problem) => AttemptEnd::Refused(problem, wait),
-            Err(_) => AttemptEnd::Failed(format_smolstr!("status {}", response.status)),
+            Ok(problem) => AttemptResult::Refused(problem, wait),
+            Err(_) => AttemptResult::Failed(format_smolstr!("status {}", response.status)),
         }
     }
 }
--- a/src/cmd/call.rs
+++ b/src/cmd/call.rs
@@ -1,4 +1,4 @@
-//! `samphiregrade call`: runs a program by hand.
+//! `samphiregrade call`: runs a program with prompts from the command line.
 
 use std::process::ExitCode;
 
@@ -10,7 +10,7 @@
 use smol_str::{SmolStr, format_smolstr};
 
 pub const USAGE: &str = "\
-Begins a program, sends each prompt as one call, and ends it.
+Starts a program, sends each prompt as one call, and ends it.
 
 Usage: samphiregrade call --instance URL --token TOKEN --class CLASS [--key KEY] [--home DOMAIN]
                           [--max-tokens N] PROMPT [PROMPT ...]
@@ -27,7 +27,7 @@
     prompts: Vec<String>,
 }
 
-/// Reads the arguments.
+/// Parses the arguments.
 pub fn arguments(mut arguments: Arguments) -> Result<CallArguments> {
     let text = |value: String| SmolStr::from(value);
     let instance = text(arguments.value_from_str("--instance")?);
@@ -36,13 +36,13 @@
     let key: Option<String> = arguments.opt_value_from_str("--key")?;
     let home: Option<String> = arguments.opt_value_from_str("--home")?;
     let max_tokens = arguments.opt_value_from_str("--max-tokens")?;
-    let rest = arguments.finish();
-    let prompts: Vec<String> = rest
+    let remaining = arguments.finish();
+    let prompts: Vec<String> = remaining
         .iter()
         .map(|prompt| prompt.to_string_lossy().into_owned())
         .collect();
     if prompts.is_empty() {
-        bail!("no prompt; name at least one");
+        bail!("no prompt given; pass at least one");
     }
     let key = key.map_or_else(|| format_smolstr!("call-{:x}", rand::random::<u64>()), text);
     Ok(CallArguments {
@@ -69,8 +69,8 @@
             deadline_ms: None,
             parent: None,
         };
-        let began = client.begin(&request).await?.body;
-        eprintln!("program={} tokens={}", began.program, began.tokens);
+        let begin = client.begin(&request).await?.body;
+        eprintln!("program={} tokens={}", begin.program, begin.tokens);
         for (prompt, sequence) in arguments.prompts.into_iter().zip(1..) {
             let message = ChatMessage {
                 role: "user".into(),
@@ -81,19 +81,16 @@
                 max_tokens: arguments.max_tokens,
                 ..CallBody::default()
             };
-            let answer = client.call(&began.program, sequence, &body).await?.body;
+            let response = client.call(&begin.program, sequence, &body).await?.body;
             println!(
                 "{}",
-                answer["choices"][0]["message"]["content"]
+                response["choices"][0]["message"]["content"]
                     .as_str()
                     .unwrap_or("")
             );
         }
-        let ended = client.end(&began.program).await?.body;
-        eprintln!(
-            "ended calls={} tokens-used={}",
-            ended.calls, ended.tokens_used
-        );
+        let end = client.end(&begin.program).await?.body;
+        eprintln!("ended calls={} tokens-used={}", end.calls, end.tokens_used);
         Ok(ExitCode::SUCCESS)
     })
 }
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `samphiregrade check`: checks a settings file or a record.
+//! `samphiregrade check`: validates a settings file or a record.
 
 use std::fs;
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 use samphiregrade::record::RecordEnvelope;
 
 pub const USAGE: &str = "\
-Checks a settings file or a record without changing anything.
+Validates a settings file or a record without changing anything.
 
 Usage: samphiregrade check [--settings FILE.toml] [--record FILE.json]
 ";
@@ -21,7 +21,7 @@
     record: Option<PathBuf>,
 }
 
-/// Reads the arguments.
+/// Parses the arguments.
 pub fn arguments(mut arguments: Arguments) -> Result<CheckArguments> {
     let settings = arguments.opt_value_from_str("--settings")?;
     let record = arguments.opt_value_from_str("--record")?;
@@ -32,7 +32,7 @@
 /// Runs the command.
 pub fn execute(arguments: CheckArguments) -> Result<ExitCode> {
     if arguments.settings.is_none() && arguments.record.is_none() {
-        bail!("nothing to check; name a file with --settings or --record");
+        bail!("nothing to check; pass a file with --settings or --record");
     }
     if let Some(path) = arguments.settings {
         Settings::read(&path)?;
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -1,4 +1,4 @@
-//! `samphiregrade demo`: runs a whole small deployment in this process.
+//! `samphiregrade demo`: runs a complete small deployment in this process.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::process::ExitCode;
@@ -17,10 +17,10 @@
 
 Usage: samphiregrade demo [--deployment cantabrica|agrovision] [--programs N] [--seed N] [--stay]
 
-With --stay the deployment goes on after the summary, on 127.0.0.1:7070, until SIGINT.
+With --stay the deployment keeps serving on 127.0.0.1:7070 after the summary, until SIGINT.
 ";
 
-/// Address for callers of a demo that stays.
+/// Callers' address of a demo that keeps serving after its programs (`--stay`).
 const STAY_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 7070);
 
 /// Arguments of the command.
@@ -29,7 +29,7 @@
     stay: bool,
 }
 
-/// Reads the arguments.
+/// Parses the arguments.
 pub fn arguments(mut arguments: Arguments) -> Result<DemoArguments> {
     let mut settings = DemoSettings::default();
     let deployment: Option<Deployment> = arguments.opt_value_from_str("--deployment")?;
@@ -56,23 +56,26 @@
     let runtime = Runtime::new().context("starting the runtime")?;
     run_system(async move {
         let token = arguments.settings.deployment.token.clone();
-        let demo = run_demo(arguments.settings, &runtime, |note| {
-            let program = note.program.as_deref().unwrap_or("-");
-            let seconds = note.latency.as_secs_f64();
-            println!("{:?} {} {program} {seconds:.2} s", note.verdict, note.class);
+        let demo = run_demo(arguments.settings, &runtime, |program| {
+            let id = program.program.as_deref().unwrap_or("-");
+            let seconds = program.latency.as_secs_f64();
+            println!(
+                "{:?} {} {id} {seconds:.2} s",
+                program.verdict, program.class
+            );
         });
         let demo = demo.await?;
         print_summary(&demo.report);
         if arguments.stay {
-            println!("serving on http://{STAY_ADDRESS} with the token {token}; end with Ctrl-C");
+            println!("serving on http://{STAY_ADDRESS} with the token {token}; stop with Ctrl-C");
             tokio::signal::ctrl_c()
                 .await
                 .context("waiting for SIGINT")?;
         }
-        let whole = demo.report.failures.is_empty() && demo.report.wrong_answers == 0;
+        let succeeded = demo.report.failures.is_empty() && demo.report.wrong_answers == 0;
         demo.stop().await;
         runtime.shutdown_background();
-        Ok(if whole {
+        Ok(if succeeded {
             ExitCode::SUCCESS
         } else {
             ExitCode::FAILURE
@@ -101,7 +104,7 @@
             quantile(&summary.latencies, 95).as_secs_f64(),
         );
     }
-    println!("wrong answers: {}", report.wrong_answers);
+    println!("wrong responses: {}", report.wrong_answers);
     for failure in &report.failures {
         println!("not finished: {failure}");
     }
--- a/src/cmd/dump.rs
+++ b/src/cmd/dump.rs
@@ -1,4 +1,4 @@
-//! `samphiregrade dump`: shows the state of a running instance.
+//! `samphiregrade dump`: prints the state of a running instance.
 
 use std::process::ExitCode;
 
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 pub const USAGE: &str = "\
-Shows the whole state of a running instance as JSON.
+Prints the complete state of a running instance as JSON.
 
 Usage: samphiregrade dump --operators URL [--token TOKEN]
 ";
@@ -19,7 +19,7 @@
     token: Option<String>,
 }
 
-/// Reads the arguments.
+/// Parses the arguments.
 pub fn arguments(mut arguments: Arguments) -> Result<DumpArguments> {
     let operators = arguments.value_from_str("--operators")?;
     let token = arguments.opt_value_from_str("--token")?;
@@ -38,7 +38,7 @@
         }
         let (status, state): (u16, Value) = pool.fetch_json(request).await?;
         println!("{}", serde_json::to_string_pretty(&state)?);
-        ensure!(status == 200, "the instance answered with status {status}");
+        ensure!(status == 200, "the instance responded with status {status}");
         Ok(ExitCode::SUCCESS)
     })
 }
--- a/src/cmd/entry.rs
+++ b/src/cmd/entry.rs
@@ -1,4 +1,4 @@
-//! `samphiregrade entry`: carries clients' requests on a platform's machine.
+//! `samphiregrade entry`: forwards clients' requests on a platform's machine.
 
 use std::process::ExitCode;
 
@@ -9,12 +9,12 @@
 use super::gateway::{GatewayArguments, run_role};
 
 pub const USAGE: &str = "\
-Runs an entry instance on a platform's machine until it gets SIGTERM or SIGINT.
+Runs an entry instance on a platform's machine until it receives SIGTERM or SIGINT.
 
 Usage: samphiregrade entry --settings FILE.toml
 ";
 
-/// Reads the arguments.
+/// Parses the arguments.
 pub fn arguments(arguments: Arguments) -> Result<GatewayArguments> {
     GatewayArguments::read(arguments)
 }
--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -1,4 +1,4 @@
-//! What the commands for a platform's machines share: their arguments and the start of a role.
+//! Arguments and role start-up shared by `entry` and `keeper`, the commands for a platform's machines.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -13,13 +13,13 @@
 use samphiregrade_http::run_system;
 use samphiregrade_platform::PlatformDialect;
 
-/// Arguments of both commands.
+/// Arguments of `entry` and `keeper`.
 pub struct GatewayArguments {
     settings: PathBuf,
 }
 
 impl GatewayArguments {
-    /// Reads the arguments.
+    /// Parses the arguments.
     pub fn read(mut arguments: Arguments) -> Result<Self> {
         let settings = arguments.value_from_str("--settings")?;
         super::finish(arguments)?;
@@ -27,19 +27,19 @@
     }
 }
 
-/// Runs a role with its settings and the platform's dialect.
+/// Runs a role with its settings file and the platform's dialect.
 pub fn run_role<Role, Running>(arguments: GatewayArguments, role: Role) -> Result<ExitCode>
 where
     Role: FnOnce(GatewaySettings, PathBuf, Arc<dyn Dialect>) -> Running,
     Running: Future<Output = Result<()>> + 'static,
 {
-    block_reload_signal().context("holding reloads back")?;
+    block_reload_signal().context("blocking the reload signal")?;
     super::install_crypto();
     let path = arguments.settings;
     let settings = GatewaySettings::read(&path)?;
-    let ended = run_system(role(settings, path, Arc::new(PlatformDialect)));
-    // Only now: tasks that end with the system tell of requests that were still under way.
+    let result = run_system(role(settings, path, Arc::new(PlatformDialect)));
+    // Flushes only here: tasks dropped with the system still log the requests that they had under way.
     Logbook::global().flush();
-    ended?;
+    result?;
     Ok(ExitCode::SUCCESS)
 }
--- a/src/cmd/keeper.rs
+++ b/src/cmd/keeper.rs
@@ -1,4 +1,4 @@
-//! `samphiregrade keeper`: keeps facts on the disk of a platform's machine.
+//! `samphiregrade keeper`: stores facts on the disk of a platform's machine.
 
 use std::process::ExitCode;
 
@@ -9,12 +9,12 @@
 use super::gateway::{GatewayArguments, run_role};
 
 pub const USAGE: &str = "\
-Runs a keeper instance on a platform's machine with a disk until it gets SIGTERM or SIGINT.
+Runs a keeper instance on a platform's machine with a disk until it receives SIGTERM or SIGINT.
 
 Usage: samphiregrade keeper --settings FILE.toml
 ";
 
-/// Reads the arguments.
+/// Parses the arguments.
 pub fn arguments(arguments: Arguments) -> Result<GatewayArguments> {
     GatewayArguments::read(arguments)
 }
--- a/src/cmd/keys.rs
+++ b/src/cmd/keys.rs
@@ -1,4 +1,4 @@
-//! `samphiregrade keys`: makes the certificates of instances.
+//! `samphiregrade keys`: creates the certificates of instances.
 
 use std::fs::{self, OpenOptions};
 use std::io::Write;
@@ -11,7 +11,7 @@
 use samphiregrade::link::{make_authority, make_identity};
 
 pub const USAGE: &str = "\
-Makes an authority in the folder unless there is one, and a certificate for each named instance.
+Creates a certificate authority in the folder unless it has one, and a certificate for each instance.
 
 Usage: samphiregrade keys --folder FOLDER NAME [NAME ...]
 ";
@@ -22,16 +22,16 @@
     names: Vec<String>,
 }
 
-/// Reads the arguments.
+/// Parses the arguments.
 pub fn arguments(mut arguments: Arguments) -> Result<KeysArguments> {
     let folder = arguments.value_from_str("--folder")?;
-    let rest = arguments.finish();
-    let names: Vec<String> = rest
+    let remaining = arguments.finish();
+    let names: Vec<String> = remaining
         .iter()
         .map(|name| name.to_string_lossy().into_owned())
         .collect();
     if names.is_empty() {
-        bail!("no instance; name at least one");
+        bail!("no instance given; pass at least one name");
     }
     Ok(KeysArguments { folder, names })
 }
@@ -40,7 +40,8 @@
 pub fn execute(arguments: &KeysArguments) -> Result<ExitCode> {
     super::install_crypto();
     let folder = &arguments.folder;
-    fs::create_dir_all(folder).with_context(|| format!("making {}", folder.display()))?;
+    fs::create_dir_all(folder)
+        .with_context(|| format!("creating the folder {}", folder.display()))?;
     let authority_path = folder.join("authority.pem");
     let authority_key_path = folder.join("authority.key");
     if !authority_path.exists() {
@@ -54,7 +55,7 @@
         let identity = make_identity(&authority, &authority_key, name)?;
         write_file(&folder.join(format!("{name}.pem")), &identity.certificate)?;
         write_file(&folder.join(format!("{name}.key")), &identity.key)?;
-        println!("made {name}.pem and {name}.key in {}", folder.display());
+        println!("created {name}.pem and {name}.key in {}", folder.display());
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -63,7 +64,7 @@
     fs::read_to_string(path).with_context(|| format!("reading {}", path.display()))
 }
 
-/// Writes a file that only its owner may read.
+/// Writes a file with mode 0600, readable only by its owner.
 fn write_file(path: &Path, text: &str) -> Result<()> {
     let mut options = OpenOptions::new();
     options.create(true).truncate(true).write(true).mode(0o600);
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, each in a file of its own with the same two functions: `arguments`, `execute`.
+//! Subcommands of the command line. Each has a module with the functions `arguments` and `execute`.
 
 mod call;
 mod check;
@@ -25,12 +25,12 @@
   serve    run an entry instance
   entry    run an entry instance on a platform's machine
   keeper   run a keeper instance on a platform's machine with a disk
-  check    check a settings file or a record
+  check    validate a settings file or a record
   record   list, read and change the operators' records
-  dump     show the state of a running instance
-  call     run a program by hand
-  demo     run a whole small deployment in this process
-  keys     make the certificates of instances
+  dump     print the state of a running instance
+  call     run a program with prompts from the command line
+  demo     run a complete small deployment in this process
+  keys     create the certificates of instances
 
 Every command takes --help. The log level is set by RUST_LOG.
 ";
@@ -91,10 +91,10 @@
     command()
 }
 
-/// Refuses arguments that no option has taken.
+/// Refuses arguments that no option has consumed.
 fn finish(arguments: Arguments) -> Result<()> {
-    let rest = arguments.finish();
-    if let Some(first) = rest.first() {
+    let remaining = arguments.finish();
+    if let Some(first) = remaining.first() {
         bail!(
             "unexpected argument `{}`; see --help",
             first.to_string_lossy()
@@ -103,7 +103,7 @@
     Ok(())
 }
 
-/// Chooses how log lines are written: structured on a platform's machines, as plain text elsewhere.
+/// Installs the logger: structured lines on a platform's machines, plain text elsewhere.
 fn install_log(command: Option<&str>) {
     if matches!(command, Some("entry" | "keeper")) {
         samphiregrade_gateway::observe::install_logger(log::LevelFilter::Info);
@@ -116,8 +116,8 @@
         .init();
 }
 
-/// Chooses the library that the links' encryption comes from.
+/// Installs the TLS cryptography provider of the links.
 fn install_crypto() {
-    // A second installation in the same process changes nothing.
+    // Fails only if a provider is already installed in this process, which then stays in use.
     let _ = rustls::crypto::ring::default_provider().install_default();
 }
--- a/src/cmd/record.rs
+++ b/src/cmd/record.rs
@@ -1,4 +1,4 @@
-//! `samphiregrade record`: lists, reads and changes the operators' records.
+//! `samphiregrade record`: lists, reads and changes records of the operators.
 
 use std::fs;
 use std::io::Read;
@@ -30,19 +30,19 @@
 record and the lines that differ.
 ";
 
-/// What to do.
+/// Subcommand with its operands.
 pub enum RecordAction {
-    /// List the records of a kind, or all.
+    /// Lists the records of a kind, or all records.
     List(Option<RecordKind>),
-    /// Show one.
+    /// Prints a record and its revision.
     Get(RecordKind, SmolStr),
-    /// Store one.
+    /// Stores a record from a file if it is still at the base revision; 0 means that it must not exist.
     Put(PathBuf, u64),
-    /// Remove one.
+    /// Removes a record if it is still at the base revision.
     Remove(RecordKind, SmolStr, u64),
-    /// Show the changes of one.
+    /// Prints the changes of a record from a revision on.
     History(RecordKind, SmolStr, u64),
-    /// Follow the changes of a kind, or all.
+    /// Prints new changes of the records of a kind, or of all records, as they arrive.
     Watch(Option<RecordKind>),
 }
 
@@ -52,7 +52,7 @@
     key_value: SmolStr,
 }
 
-/// Reads the arguments.
+/// Parses the arguments.
 pub fn arguments(mut arguments: Arguments) -> Result<RecordArguments> {
     let key_value: String = arguments.value_from_str("--key-value")?;
     let base: Option<u64> = arguments.opt_value_from_str("--base")?;
@@ -200,15 +200,15 @@
         current.revision
     );
     eprintln!("{}", current.value);
-    eprintln!("your change against it:");
+    eprintln!("your change compared with it:");
     eprint!("{}", record_diff(&current.value, value.unwrap_or("{}")));
     eprintln!(
-        "look at it, then put again with --base {}",
+        "merge your change into it, then put again with --base {}",
         current.revision
     );
 }
 
-/// Prints changes; with `past_only` those up to now, else until the watch breaks.
+/// Prints changes: with `past_only` those up to the current revision, otherwise until the watch ends.
 async fn follow(
     client: &KeyValueClient,
     range: KeyRange,
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -15,7 +15,7 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 pub const USAGE: &str = "\
-Runs an entry instance until it gets SIGTERM or SIGINT, then shuts down gracefully.
+Runs an entry instance until it receives SIGTERM or SIGINT, then shuts down gracefully.
 
 Usage: samphiregrade serve --settings FILE.toml
 ";
@@ -25,7 +25,7 @@
     settings: PathBuf,
 }
 
-/// Reads the arguments.
+/// Parses the arguments.
 pub fn arguments(mut arguments: Arguments) -> Result<ServeArguments> {
     let settings = arguments.value_from_str("--settings")?;
     super::finish(arguments)?;
@@ -45,13 +45,14 @@
 }
 
 async fn serve(settings: Settings, runtime: Runtime) -> Result<ExitCode> {
-    // From before the first listener on: a signal must find its handler once a connection can be accepted.
+    // Installed before the first listener: once a connection can be accepted, a signal must find its handler.
     let signals = StopSignals::install()?;
     let listen = &settings.listen;
-    let bound = |what: &str| format!("listening for {what}");
-    let callers = TcpListener::bind(listen.callers).with_context(|| bound("callers"))?;
-    let operators = TcpListener::bind(listen.operators).with_context(|| bound("operators"))?;
-    let peer_socket = UdpSocket::bind(listen.peers).with_context(|| bound("other instances"))?;
+    let listening = |what: &str| format!("listening for {what}");
+    let callers = TcpListener::bind(listen.callers).with_context(|| listening("callers"))?;
+    let operators = TcpListener::bind(listen.operators).with_context(|| listening("operators"))?;
+    let peer_socket =
+        UdpSocket::bind(listen.peers).with_context(|| listening("other instances"))?;
     let pool = HttpPool::start(settings.upstreams.client_threads);
     let links = &settings.links;
     let identity = LinkIdentity::read(&links.authority, &links.certificate, &links.key)?;
@@ -86,7 +87,7 @@
     })
 }
 
-/// The signals that a process has to outlive until it has shut down.
+/// Signals that must not end the process before it has shut down.
 struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
@@ -96,8 +97,8 @@
 impl StopSignals {
     fn install() -> Result<Self> {
         let install = |kind, name: &str| {
-            let waiting = || format!("waiting for {name}");
-            signal(kind).with_context(waiting)
+            let message = || format!("installing the handler of {name}");
+            signal(kind).with_context(message)
         };
         Ok(Self {
             terminate: install(SignalKind::terminate(), "SIGTERM")?,
@@ -106,15 +107,15 @@
         })
     }
 
-    /// Waits until the process is told to stop.
+    /// Waits for SIGTERM or SIGINT.
     async fn wait(mut self) {
         loop {
             tokio::select! {
                 _ = self.terminate.recv() => return,
                 _ = self.interrupt.recv() => return,
                 _ = self.hangup.recv() => {
-                    // Without a handler the system would end the process, with all requests under way.
-                    log::info!("settings are read at the start only; SIGHUP changes nothing");
+                    // SIGHUP without a handler would end the process and break all requests under way.
+                    log::info!("settings are read only at start-up; ignoring SIGHUP");
                 }
             }
         }
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -1,4 +1,4 @@
-//! A whole small deployment in one process on loopback, stand-ins included.
+//! Complete small deployment in one process on loopback, including stand-ins for engines and services.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -27,28 +27,28 @@
     Settings, ShardSection, UpstreamSection,
 };
 use crate::workload::{
-    Deployment, ProgramNote, ProgramVerdict, deployment_records, draw_plan, run_program,
+    Deployment, ObservedProgram, ProgramVerdict, deployment_records, draw_plan, run_program,
 };
 
-/// Longest wait for the instances to become ready.
+/// Timeout for the instances to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause between two looks.
-const READY_PAUSE: Duration = Duration::from_millis(100);
+/// Interval between two readiness checks.
+const READY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Pause between the begins of two programs.
-const BEGIN_PAUSE: Duration = Duration::from_millis(60);
+/// Interval between the starts of two programs.
+const START_INTERVAL: Duration = Duration::from_millis(60);
 
-/// What the demo runs.
+/// Settings of the demo.
 #[derive(Clone, Debug)]
 pub struct DemoSettings {
-    /// Deployment whose classes are run.
+    /// Deployment whose program classes are run.
     pub deployment: Deployment,
-    /// Programs.
+    /// Number of programs, without sub-agents.
     pub programs: usize,
-    /// Seed of the programs' shapes.
+    /// Seed of the random program plans.
     pub seed: u64,
-    /// Address of the first instance's listener for callers; any free one where it is left out.
+    /// Address of the first instance's listener for callers; a free port is chosen if this is `None`.
     pub listen: Option<SocketAddr>,
 }
 
@@ -63,40 +63,40 @@
     }
 }
 
-/// What the programs of one class came to.
+/// Results of the programs of one class.
 #[derive(Clone, Debug, Default)]
 pub struct ClassSummary {
-    /// Programs run, sub-agents included.
+    /// Programs run, including sub-agents.
     pub programs: usize,
     /// Programs that finished.
     pub finished: usize,
-    /// Calls answered.
+    /// Calls with a response.
     pub calls: usize,
-    /// Latencies in order.
+    /// Latencies of the programs, sorted.
     pub latencies: Vec<Duration>,
 }
 
-/// What the demo came to.
+/// Results of the demo.
 #[derive(Clone, Debug, Default)]
 pub struct DemoReport {
-    /// By class.
+    /// Results by class.
     pub classes: BTreeMap<SmolStr, ClassSummary>,
     /// Programs that did not finish, with the reason.
     pub failures: Vec<SmolStr>,
-    /// Answers that were not the right ones.
+    /// Responses that differ from the expected ones.
     pub wrong_answers: u32,
     /// Instances and upstreams that were started.
     pub processes: usize,
-    /// Time over all programs.
+    /// Time from the first start to the end of all programs.
     pub elapsed: Duration,
-    /// Base URLs of the instances for callers.
+    /// Base URLs of the instances' listeners for callers.
     pub entries: Vec<SmolStr>,
 }
 
-/// A demo whose instances still run.
+/// Demo whose instances are still running.
 #[derive(Debug)]
 pub struct RunningDemo {
-    /// What the programs came to.
+    /// Results of the programs.
     pub report: DemoReport,
     instances: Vec<Instance>,
     listeners: Vec<InstanceListeners>,
@@ -119,24 +119,25 @@
 }
 
 struct DemoInstance {
-    parts_settings: Settings,
+    instance_settings: Settings,
     callers: TcpListener,
     operators: TcpListener,
     peers: UdpSocket,
 }
 
-/// Runs the demo on the main event loop of a system; `progress` is told of every ended program.
+/// Runs the demo on the main event loop of a system. Calls `progress` for each program that has ended, without
+/// its sub-agents.
 ///
 /// # Errors
 ///
-/// Returns what could not be started, or that the instances did not become ready.
+/// Returns an error if a part can't be started or the instances do not become ready in time.
 pub async fn run_demo<Progress>(
     settings: DemoSettings,
     runtime: &Runtime,
     progress: Progress,
 ) -> Result<RunningDemo>
 where
-    Progress: Fn(&ProgramNote),
+    Progress: Fn(&ObservedProgram),
 {
     let deployment = &settings.deployment;
     let pool = HttpPool::start(1);
@@ -153,8 +154,8 @@
         entries,
         ..DemoReport::default()
     };
-    for note in run_programs(&settings, &client, &progress).await {
-        report.add(note);
+    for program in run_programs(&settings, &client, &progress).await {
+        report.add(program);
     }
     report.elapsed = started.elapsed();
     Ok(RunningDemo {
@@ -211,7 +212,7 @@
         let outcome = store.swap(key, 0, Some(text)).await?;
         anyhow::ensure!(
             matches!(outcome, SwapOutcome::Swapped(_)),
-            "a record exists already"
+            "a record of the deployment already exists in the key-value store"
         );
     }
     Ok(())
@@ -247,10 +248,10 @@
     let mut listeners = Vec::new();
     for prepared in prepared {
         entries.push(format_smolstr!("http://{}", prepared.callers.local_addr()?));
-        let name = prepared.parts_settings.instance.name.clone();
+        let name = prepared.instance_settings.instance.name.clone();
         let parts = InstanceParts {
             identity: make_identity(&authority, &authority_key, &name)?,
-            settings: prepared.parts_settings,
+            settings: prepared.instance_settings,
             store: store.clone(),
             list: InstanceList::Fixed(listed.clone()),
             pool: pool.clone(),
@@ -268,8 +269,8 @@
     domain: SmolStr,
     listen: Option<SocketAddr>,
 ) -> Result<DemoInstance> {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let callers = TcpListener::bind(listen.unwrap_or(any)).context("listening for callers")?;
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    let callers = TcpListener::bind(listen.unwrap_or(any_port)).context("listening for callers")?;
     let operators = TcpListener::bind("127.0.0.1:0")?;
     let peers = UdpSocket::bind("127.0.0.1:0")?;
     let settings = Settings {
@@ -293,7 +294,7 @@
             calls_per_second: 20.0,
             call_burst: 60.0,
         },
-        // The certificates are made in memory; these paths are not read.
+        // The demo creates the certificates in memory; these paths are not read.
         links: LinkSection {
             authority: "authority.pem".into(),
             certificate: "instance.pem".into(),
@@ -305,7 +306,7 @@
         limits: LimitSection::default(),
     };
     Ok(DemoInstance {
-        parts_settings: settings,
+        instance_settings: settings,
         callers,
         operators,
         peers,
@@ -320,7 +321,7 @@
             "the instances did not become ready within {} s",
             READY_TIMEOUT.as_secs()
         );
-        tokio::time::sleep(READY_PAUSE).await;
+        tokio::time::sleep(READY_CHECK_INTERVAL).await;
     }
     Ok(())
 }
@@ -329,39 +330,39 @@
     settings: &DemoSettings,
     client: &CallerClient,
     progress: &Progress,
-) -> Vec<ProgramNote>
+) -> Vec<ObservedProgram>
 where
-    Progress: Fn(&ProgramNote),
+    Progress: Fn(&ObservedProgram),
 {
     let mut rng = SmallRng::seed_from_u64(settings.seed);
-    let shapes = &settings.deployment.classes;
+    let classes = &settings.deployment.classes;
     let plans: Vec<_> = (0..settings.programs)
-        .map(|_| draw_plan(shapes, &mut rng))
+        .map(|_| draw_plan(classes, &mut rng))
         .collect();
     let runs = plans.iter().zip(0..).map(async |(plan, number): (_, u32)| {
-        tokio::time::sleep(BEGIN_PAUSE * number).await;
+        tokio::time::sleep(START_INTERVAL * number).await;
         let key = format_smolstr!("demo-{}-{number}", settings.seed);
-        let notes = run_program(client, plan, key, None, None).await;
-        notes.first().inspect(|note| progress(note));
-        notes
+        let programs = run_program(client, plan, key, None, None).await;
+        programs.first().inspect(|program| progress(program));
+        programs
     });
     join_all(runs).await.into_iter().flatten().collect()
 }
 
 impl DemoReport {
-    fn add(&mut self, note: ProgramNote) {
-        let class = self.classes.entry(note.class.clone()).or_default();
+    fn add(&mut self, program: ObservedProgram) {
+        let class = self.classes.entry(program.class.clone()).or_default();
         class.programs += 1;
-        class.calls += note.calls.iter().filter(|call| call.answered).count();
-        class.latencies.push(note.latency);
+        class.calls += program.calls.iter().filter(|call| call.answered).count();
+        class.latencies.push(program.latency);
         class.latencies.sort();
-        self.wrong_answers += note.wrong_answers;
-        if note.verdict == ProgramVerdict::Finished {
+        self.wrong_answers += program.wrong_answers;
+        if program.verdict == ProgramVerdict::Finished {
             class.finished += 1;
             return;
         }
-        let reason = note.failure.unwrap_or_default();
+        let reason = program.failure.unwrap_or_default();
         self.failures
-            .push(format_smolstr!("{:?}: {reason}", note.verdict));
+            .push(format_smolstr!("{:?}: {reason}", program.verdict));
     }
 }
--- a/src/workload/caller.rs
+++ b/src/workload/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that runs a plan and notes what it was told.
+//! Caller that runs a program plan and records the responses.
 
 use std::time::{Duration, Instant};
 
@@ -15,79 +15,80 @@
 use crate::ids::{ProgramId, SequenceNumber, TokenCount};
 use crate::program::idempotency_key;
 
-/// How a program ended for its caller.
+/// Outcome of a program for its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ProgramVerdict {
-    /// Every step was answered and the program was ended.
+    /// Every step has a response and the program was ended.
     Finished,
-    /// It was refused, and what was refused did not run.
+    /// A request was refused and did not run.
     RefusedNotRun,
-    /// The outcome of a call that must not be repeated is unknown.
+    /// A request was refused, and whether it ran is unknown: for example, a call that must not be repeated lost its
+    /// response.
     OutcomeUnknown,
-    /// The caller's patience ended without a final answer.
+    /// The client's retry timeout passed without a final response.
     Unanswered,
 }
 
-/// A call as its caller saw it.
+/// Call as its caller observed it.
 #[derive(Clone, Debug)]
-pub struct CallNote {
-    /// Key of the call.
+pub struct ObservedCall {
+    /// Idempotency key of the call.
     pub key: SmolStr,
-    /// Whether it may be repeated.
+    /// Whether the call may be repeated.
     pub idempotent: bool,
-    /// Whether it was answered.
+    /// Whether the call has a successful response.
     pub answered: bool,
-    /// What a final refusal said.
-    pub told: Option<RanState>,
-    /// Attempts made; 0 where the answer was final but no success.
+    /// Whether the call ran, as a permanent refusal reported it.
+    pub reported_ran: Option<RanState>,
+    /// Number of attempts; 0 if the call has no successful response.
     pub attempts: u32,
     /// When the first attempt was made.
     pub began: Instant,
-    /// When the final answer came.
+    /// When the final response arrived or the client gave up.
     pub ended: Instant,
-    /// Digest of the conversation that the engine is to be asked with.
+    /// Digest of the conversation that the engine has to receive; `None` for calls of a service.
     pub prompt_digest: Option<u64>,
     /// Tokens that the call adds to the prompt.
     pub prompt_tokens: TokenCount,
 }
 
-/// A program as its caller saw it.
+/// Program as its caller observed it.
 #[derive(Clone, Debug)]
-pub struct ProgramNote {
-    /// The program, once begun.
+pub struct ObservedProgram {
+    /// Id of the program, once it has started.
     pub program: Option<ProgramId>,
-    /// Class.
+    /// Class of the program.
     pub class: SmolStr,
-    /// How it ended.
+    /// Outcome of the program.
     pub verdict: ProgramVerdict,
-    /// From the first attempt at the begin to the last answer.
+    /// Time from the first attempt to start the program to the last response.
     pub latency: Duration,
     /// When the first attempt was made.
     pub began: Instant,
-    /// Its calls.
-    pub calls: Vec<CallNote>,
-    /// Answers that were not the right ones.
+    /// Calls of the program.
+    pub calls: Vec<ObservedCall>,
+    /// Responses that differ from the expected ones.
     pub wrong_answers: u32,
-    /// Tokens used as the system told at the end, and the budget.
+    /// Tokens used, as the system reports them at the end, and the budget.
     pub tokens: Option<(TokenCount, TokenCount)>,
-    /// Longest time between two final answers, pauses left out.
+    /// Longest time between two final responses without pauses: the duration of the longest call.
     pub longest_gap: Duration,
-    /// Last refusal or failure.
+    /// Refusal or failure that ended the program early.
     pub failure: Option<SmolStr>,
 }
 
 struct ProgramRun<'run> {
     client: &'run CallerClient,
     plan: &'run ProgramPlan,
-    note: ProgramNote,
+    program: ObservedProgram,
     history: Vec<EngineMessage>,
     sequence: SequenceNumber,
-    below: Vec<ProgramNote>,
+    sub_agents: Vec<ObservedProgram>,
 }
 
-/// Runs a plan to its end and returns the notes of the program and its sub-agents.
+/// Runs a plan and returns the observed program, followed by its sub-agents.
 ///
-/// The expected answers are those of the stand-in engine.
+/// The expected responses are those of the stand-in engine and services.
 #[must_use]
 pub fn run_program<'run>(
     client: &'run CallerClient,
@@ -95,10 +96,10 @@
     key: SmolStr,
     home: Option<SmolStr>,
     parent: Option<ProgramId>,
-) -> BoxFuture<'run, Vec<ProgramNote>> {
+) -> BoxFuture<'run, Vec<ObservedProgram>> {
     async move {
         let began = Instant::now();
-        let note = ProgramNote {
+        let program = ObservedProgram {
             program: None,
             class: plan.class.clone(),
             verdict: ProgramVerdict::Finished,
@@ -113,24 +114,24 @@
         let mut run = ProgramRun {
             client,
             plan,
-            note,
+            program,
             history: Vec::new(),
             sequence: 0,
-            below: Vec::new(),
+            sub_agents: Vec::new(),
         };
         if let Err(error) = run.run(key, home, parent).await {
-            run.note.verdict = verdict_of(&error);
-            run.note.failure = Some(format_smolstr!("{error}"));
+            run.program.verdict = verdict_for(&error);
+            run.program.failure = Some(format_smolstr!("{error}"));
         }
-        run.note.latency = began.elapsed();
-        let mut notes = vec![run.note];
-        notes.extend(run.below);
-        notes
+        run.program.latency = began.elapsed();
+        let mut programs = vec![run.program];
+        programs.extend(run.sub_agents);
+        programs
     }
     .boxed()
 }
 
-fn verdict_of(error: &ClientError) -> ProgramVerdict {
+fn verdict_for(error: &ClientError) -> ProgramVerdict {
     match error.ran() {
         Some(RanState::No) => ProgramVerdict::RefusedNotRun,
         Some(RanState::Unknown) => ProgramVerdict::OutcomeUnknown,
@@ -155,7 +156,7 @@
         };
         let began = self.client.begin(&request).await?;
         let program = began.body.program;
-        self.note.program = Some(program.clone());
+        self.program.program = Some(program.clone());
         let plan = self.plan;
         for (step, number) in plan.steps.iter().zip(0..) {
             match step {
@@ -172,13 +173,13 @@
                         let key = format_smolstr!("{key}/{number}/{agent}");
                         run_program(self.client, plan, key, None, Some(program.clone()))
                     });
-                    self.below
+                    self.sub_agents
                         .extend(join_all(runs).await.into_iter().flatten());
                 }
             }
         }
         let ended = self.client.end(&program).await?;
-        self.note.tokens = Some((ended.body.tokens_used, ended.body.tokens));
+        self.program.tokens = Some((ended.body.tokens_used, ended.body.tokens));
         Ok(())
     }
 
@@ -192,21 +193,21 @@
             .messages
             .iter()
             .flatten()
-            .map(|one| text_tokens(&one.content))
+            .map(|message| text_tokens(&message.content))
             .sum();
         self.sequence += 1;
         let started = Instant::now();
         let answer = self.client.call(program, self.sequence, body).await;
-        self.note.longest_gap = self.note.longest_gap.max(started.elapsed());
-        let (told, attempts) = match &answer {
+        self.program.longest_gap = self.program.longest_gap.max(started.elapsed());
+        let (reported_ran, attempts) = match &answer {
             Ok(answer) => (None, answer.attempts),
             Err(error) => (error.ran(), 0),
         };
-        self.note.calls.push(CallNote {
+        self.program.calls.push(ObservedCall {
             key: idempotency_key(program, self.sequence),
             idempotent,
             answered: answer.is_ok(),
-            told,
+            reported_ran,
             attempts,
             began: started,
             ended: Instant::now(),
@@ -249,10 +250,10 @@
         let text = value["choices"][0]["message"]["content"]
             .as_str()
             .unwrap_or_default();
-        let wanted = answer_text(&self.history, usize::try_from(answer).unwrap_or(usize::MAX));
-        // A budget that runs out cuts the answer; anything else has to be whole.
-        if text.is_empty() || !wanted.starts_with(text) {
-            self.note.wrong_answers += 1;
+        let expected = answer_text(&self.history, usize::try_from(answer).unwrap_or(usize::MAX));
+        // An exhausted budget truncates the response, so that any non-empty prefix of the expected text is correct.
+        if text.is_empty() || !expected.starts_with(text) {
+            self.program.wrong_answers += 1;
         }
         self.history.push(EngineMessage {
             role: "assistant".into(),
@@ -267,7 +268,7 @@
         service: &SmolStr,
         idempotent: bool,
     ) -> Result<(), ClientError> {
-        let wanted = idempotency_key(program, self.sequence + 1);
+        let expected = idempotency_key(program, self.sequence + 1);
         let arguments = format!("{{\"program\":\"{program}\"}}");
         let body = CallBody {
             service: Some(service.clone()),
@@ -277,8 +278,8 @@
             ..CallBody::default()
         };
         let value = self.call(program, &body, idempotent).await?;
-        if value["key"] != wanted.as_str() {
-            self.note.wrong_answers += 1;
+        if value["key"] != expected.as_str() {
+            self.program.wrong_answers += 1;
         }
         Ok(())
     }
--- a/src/workload/deployment.rs
+++ b/src/workload/deployment.rs
@@ -1,6 +1,6 @@
-//! The two deployments of the users, as far as the system sees them.
+//! Model of the two users' deployments, limited to what the system sees of them.
 //!
-//! Engine figures were not supplied; those here are assumptions of this project.
+//! The users supplied no engine figures; those here are assumptions of this project.
 
 use std::str::FromStr;
 
@@ -14,61 +14,61 @@
 
 use super::plan::ClassShape;
 
-/// A name that is no deployment.
+/// Unknown deployment name.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 #[error("there is no deployment `{0}`; use cantabrica or agrovision")]
 pub struct DeploymentError(SmolStr);
 
-/// A failure domain with its instances.
+/// Failure domain and its number of instances.
 #[derive(Clone, Debug)]
 pub struct DomainLayout {
-    /// Name.
+    /// Unique name.
     pub name: DomainId,
-    /// Entry instances.
+    /// Number of entry instances.
     pub instances: usize,
 }
 
-/// A model engine.
+/// Model engine.
 #[derive(Clone, Debug)]
-pub struct WorkerLayout {
-    /// Name.
+pub struct EngineLayout {
+    /// Unique name.
     pub name: SmolStr,
-    /// Failure domain.
+    /// Failure domain of the upstream.
     pub domain: DomainId,
-    /// Whether it refuses old fencing numbers.
+    /// Whether it refuses stale fencing numbers.
     pub checks_fencing: bool,
 }
 
-/// A tool service or plain service.
+/// Upstream of a tool service or plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceLayout {
-    /// Name.
+    /// Unique name.
     pub name: SmolStr,
-    /// Failure domain.
+    /// Failure domain of the upstream.
     pub domain: DomainId,
-    /// Service that it belongs to.
+    /// Service that this upstream provides.
     pub service: SmolStr,
-    /// Whether it refuses old fencing numbers.
+    /// Whether it refuses stale fencing numbers.
     pub checks_fencing: bool,
-    /// Whether it tells the outcome of an earlier call.
+    /// Whether it reports the outcome of an earlier call.
     pub tells_outcome: bool,
 }
 
-/// A deployment.
+/// Deployment: failure domains, upstreams and program classes of one organisation.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Name.
+    /// Unique name.
     pub name: SmolStr,
     /// Organisation whose callers use it.
     pub organisation: SmolStr,
-    /// Access token of its callers.
+    /// Access token of the callers.
     pub token: SmolStr,
     /// Model that serves every class.
     pub model: SmolStr,
     /// Failure domains.
     pub domains: Vec<DomainLayout>,
     /// Engines.
-    pub engines: Vec<WorkerLayout>,
+    pub engines: Vec<EngineLayout>,
     /// Services.
     pub services: Vec<ServiceLayout>,
     /// Classes with the shapes of their programs.
@@ -88,7 +88,7 @@
 }
 
 impl Deployment {
-    /// Car finance: a customer waits at a showroom desk, so program latency weighs more.
+    /// Returns the car finance deployment: customers wait at a showroom desk, so program latency weighs more.
     #[must_use]
     pub fn cantabrica() -> Self {
         Self::compose(
@@ -103,7 +103,8 @@
         )
     }
 
-    /// Farm visit reports: mostly same-day drafting, so wasted cache weighs more; alerts come first.
+    /// Returns the farm report deployment: mostly same-day drafting, so wasted cache weighs more; alerts have the
+    /// highest priority.
     #[must_use]
     pub fn agrovision() -> Self {
         Self::compose(
@@ -123,12 +124,12 @@
         name: &str,
         model: &str,
         domains: [&str; 3],
-        [worker, service, tool]: [&str; 3],
+        [engine, service, tool]: [&str; 3],
         classes: Vec<ClassShape>,
     ) -> Self {
         let domain = |index: usize| SmolStr::from(domains[index % domains.len()]);
-        let engines = (0..10).map(|index| WorkerLayout {
-            name: format_smolstr!("{worker}-{index}"),
+        let engines = (0..10).map(|index| EngineLayout {
+            name: format_smolstr!("{engine}-{index}"),
             domain: domain(index),
             checks_fencing: index % 2 == 0,
         });
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Replaces the number of instances of each failure domain.
+    /// Sets the number of instances of each failure domain.
     #[must_use]
     pub fn with_instances(mut self, instances: usize) -> Self {
         for domain in &mut self.domains {
@@ -176,7 +177,7 @@
         self
     }
 
-    /// Keeps only so many engines.
+    /// Keeps only the first `engines` engines.
     #[must_use]
     pub fn with_engines(mut self, engines: usize) -> Self {
         self.engines.truncate(engines);
@@ -184,7 +185,7 @@
     }
 }
 
-/// Composes the records of a deployment; `address` gives each upstream's base URL.
+/// Returns the records of a deployment; `address` returns an upstream's base URL by its name.
 pub fn deployment_records<Address>(deployment: &Deployment, address: Address) -> Vec<RecordEnvelope>
 where
     Address: Fn(&str) -> SmolStr,
--- a/src/workload/plan.rs
+++ b/src/workload/plan.rs
@@ -1,4 +1,4 @@
-//! Shapes of programs, and plans drawn from them.
+//! Random distributions of programs by class, and plans drawn from them.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -9,60 +9,60 @@
 
 use crate::ids::{ClassName, TokenCount};
 
-/// Bytes of a token in the texts of plans.
+/// Bytes per token in the texts of plans.
 const TOKEN_BYTES: usize = 4;
 
-/// A step of a program.
+/// Step of a program.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanStep {
-    /// A call of the model with so many new prompt tokens and so many tokens of answer.
+    /// Call of the model.
     Model {
-        /// New prompt tokens.
+        /// Number of new prompt tokens.
         prompt: TokenCount,
-        /// Tokens of the answer.
+        /// Number of tokens that the model generates.
         answer: TokenCount,
     },
-    /// A call of a service.
+    /// Call of a service.
     Service {
-        /// The service.
+        /// Name of the service.
         service: SmolStr,
-        /// Whether it may be repeated.
+        /// Whether the call may be repeated.
         idempotent: bool,
     },
-    /// Time in which a tool or a person outside of the system works.
+    /// Time in which a tool or a person outside the system works.
     Pause(Duration),
-    /// Sub-agents, which run at the same time.
+    /// Sub-agents, which run concurrently.
     SubAgents(Vec<ProgramPlan>),
 }
 
-/// What a program is going to do; the system learns of it step by step.
+/// Steps that a program will take. The system sees each step only when it is requested.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProgramPlan {
     /// Class of the program.
     pub class: ClassName,
-    /// The steps in order.
+    /// Steps in order.
     pub steps: Vec<PlanStep>,
-    /// First message, shared by the programs of the class.
+    /// Tokens of the first message, which the programs of the class share.
     pub shared_prompt: TokenCount,
 }
 
-/// Numbers from which a class's programs are drawn: the least and the most.
+/// Inclusive range from which a number is drawn: minimum and maximum.
 type DrawRange = (u64, u64);
 
-/// Shape of a class's programs.
+/// Random distribution of a class's programs.
 #[derive(Clone, Debug)]
 pub struct ClassShape {
-    /// The class.
+    /// Name of the class.
     pub name: ClassName,
-    /// Priority of the class, from 0.
+    /// Priority of the class; 0 is the highest.
     pub priority: u8,
-    /// Weight of program latency against wasted cache.
+    /// Weight of program latency relative to wasted cache.
     pub latency_weight: f64,
-    /// Share of all programs.
+    /// Share of all programs, relative to the other classes.
     pub share: f64,
-    /// Tokens one program may use.
+    /// Token budget of a program.
     pub tokens: TokenCount,
-    /// Tokens of the first message that the class's programs share.
+    /// Tokens of the first message, which the class's programs share.
     pub shared_prompt: TokenCount,
     turns: DrawRange,
     prompt: DrawRange,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// A single question.
+    /// Returns a class of programs with a single model call.
     #[must_use]
     pub fn question(name: &str, priority: u8, latency_weight: f64) -> Self {
         Self {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Several exchanges with tools in between.
+    /// Returns a class of programs with several model calls, tool calls between them and some sub-agents.
     #[must_use]
     pub fn dossier(name: &str, priority: u8, latency_weight: f64) -> Self {
         Self {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// A long draft.
+    /// Returns a class of programs that draft long texts.
     #[must_use]
     pub fn draft(name: &str, priority: u8, latency_weight: f64) -> Self {
         Self {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// An urgent alert.
+    /// Returns a class of short urgent programs.
     #[must_use]
     pub fn alert(name: &str, priority: u8, latency_weight: f64) -> Self {
         Self {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Names the service and the tool that the programs use.
+    /// Sets the service and the tool that the programs call.
     #[must_use]
     pub fn with_services(mut self, service: &str, tool: &str) -> Self {
         self.service = service.into();
@@ -158,7 +158,7 @@
     fn draw_pause(&self, rng: &mut SmallRng) -> Duration {
         let pause = Duration::from_millis(draw(rng, self.pause_ms));
         if rng.random_bool(self.tail) {
-            // A heavy tail: some tools and people take many times as long.
+            // Heavy tail: some tools and people take many times as long.
             return pause * rng.random_range(4..12);
         }
         pause
@@ -176,7 +176,7 @@
                 answer: draw(rng, self.answer),
             });
             if rng.random_bool(self.tool_chance) {
-                // Half of the tool calls have a side effect that must not come twice.
+                // Half of the tool calls have a side effect that must not occur twice.
                 let idempotent = rng.random_bool(0.5);
                 let service = if idempotent {
                     &self.service
@@ -190,38 +190,38 @@
             }
             if agents && rng.random_bool(self.agent_chance) {
                 let count = rng.random_range(1..=2);
-                let below = (0..count).map(|_| ProgramPlan {
+                let sub_agents = (0..count).map(|_| ProgramPlan {
                     class: self.name.clone(),
                     steps: self.draw_steps(rng, false).into_iter().take(4).collect(),
                     shared_prompt: self.shared_prompt,
                 });
-                steps.push(PlanStep::SubAgents(below.collect()));
+                steps.push(PlanStep::SubAgents(sub_agents.collect()));
             }
         }
         steps
     }
 }
 
-fn draw(rng: &mut SmallRng, (least, most): DrawRange) -> u64 {
-    rng.random_range(least..=most)
+fn draw(rng: &mut SmallRng, (minimum, maximum): DrawRange) -> u64 {
+    rng.random_range(minimum..=maximum)
 }
 
-/// Draws a program from the shapes by their shares.
+/// Draws a class by the shares of `shapes`, then a program of this class.
 ///
 /// # Panics
 ///
-/// Panics where `shapes` is empty.
+/// Panics if `shapes` is empty.
 #[must_use]
 pub fn draw_plan(shapes: &[ClassShape], rng: &mut SmallRng) -> ProgramPlan {
     let total: f64 = shapes.iter().map(|shape| shape.share).sum();
-    let mut place = rng.random_range(0.0..total);
+    let mut position = rng.random_range(0.0..total);
     let mut chosen = &shapes[0];
     for shape in shapes {
         chosen = shape;
-        if place < shape.share {
+        if position < shape.share {
             break;
         }
-        place -= shape.share;
+        position -= shape.share;
     }
     ProgramPlan {
         class: chosen.name.clone(),
@@ -231,8 +231,8 @@
 }
 
 impl ProgramPlan {
-    /// Returns the tokens generated by the program and its sub-agents, and the prompt tokens of all
-    /// its calls without any cache.
+    /// Returns the tokens generated by the program and its sub-agents, and the prompt tokens of all their calls if
+    /// no cache is used.
     #[must_use]
     pub fn work(&self) -> (TokenCount, TokenCount) {
         let mut context = self.shared_prompt;
@@ -258,14 +258,14 @@
         (generated, prompts)
     }
 
-    /// Returns the first message of the class.
+    /// Returns the text of the first message, which the programs of the class share.
     #[must_use]
     pub fn shared_text(&self) -> String {
         filler(&format!("[class {}] ", self.class), self.shared_prompt)
     }
 }
 
-/// Composes a text of so many tokens that begins with `start`.
+/// Returns a text of at least `tokens` tokens that starts with `start`.
 pub fn filler(start: &str, tokens: TokenCount) -> String {
     let length = usize::try_from(tokens)
         .unwrap_or(usize::MAX)
@@ -273,7 +273,7 @@
     let mut text = start.to_owned();
     let mut word = 0;
     while text.len() < length {
-        // Writing to a string can't fail.
+        // Writing to a string does not fail.
         let _ = write!(text, "x{word:02} ");
         word = (word + 1) % 100;
     }
--- a/tests/testsuite/stopping.rs
+++ b/tests/testsuite/stopping.rs
@@ -240,7 +240,7 @@
         let entries = [STOPPING, "bilbao-c-0"].map(|name| cluster.instances[name].entry.clone());
         let client = CallerClient::new(cluster.pool.clone(), entries.into(), token)
             .with_preferred(1)
-            .with_patience(Duration::from_secs(5));
+            .with_retry_timeout(Duration::from_secs(5));
         let request = serde_json::from_value(begin("other")).expect("a request");
         client.begin(&request).await.expect("another instance");
         assert!(!long_call.is_finished(), "the instance had ended before");
