--- a/tests/testsuite/bad_input.rs
+++ b/tests/testsuite/bad_input.rs
@@ -153,10 +153,10 @@
         .expect("a timeout");
     let head = "POST /v1/programs HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{\"key\":";
     stream.write_all(head.as_bytes()).expect("a sent head");
-    let mut response = String::new();
+    let mut answer = String::new();
     // The server may reset the connection after its response.
-    let _ = stream.read_to_string(&mut response);
-    assert!(response.starts_with("HTTP/1.1 408"), "{response}");
+    let _ = stream.read_to_string(&mut answer);
+    assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
 }
 
 #[test]
--- a/tests/testsuite/guide.rs
+++ b/tests/testsuite/guide.rs
@@ -32,11 +32,11 @@
 #[test]
 fn every_settings_key_is_documented() {
     let text = page("settings.md");
-    let mut all_keys = keys(&ShardSection::default());
-    all_keys.extend(keys(&MembershipSection::default()));
-    all_keys.extend(keys(&UpstreamSection::default()));
-    all_keys.extend(keys(&LimitSection::default()));
-    let missing: Vec<_> = all_keys
+    let mut all = keys(&ShardSection::default());
+    all.extend(keys(&MembershipSection::default()));
+    all.extend(keys(&UpstreamSection::default()));
+    all.extend(keys(&LimitSection::default()));
+    let missing: Vec<_> = all
         .iter()
         .filter(|key| !text.contains(&format!("| `{key}` |")))
         .collect();
--- a/tests/testsuite/process.rs
+++ b/tests/testsuite/process.rs
@@ -37,7 +37,7 @@
             );
         }
         let dump = cluster.dump(&instance.name).await.expect("a dump");
-        for section in [
+        for part in [
             "shards",
             "scheduler",
             "peers",
@@ -45,7 +45,7 @@
             "platform",
             "configuration-revision",
         ] {
-            assert!(!dump[section].is_null(), "{section}");
+            assert!(!dump[part].is_null(), "{part}");
         }
     });
 }
--- a/tests/testsuite/records.rs
+++ b/tests/testsuite/records.rs
@@ -143,12 +143,9 @@
         assert!(put("2", Some(&base)).await.status.success());
         let stale_put = put("3", Some(&base)).await;
         assert_eq!(stale_put.status.code(), Some(1));
-        let error_text = String::from_utf8_lossy(&stale_put.stderr).into_owned();
-        assert!(error_text.contains("\"version\":\"2\""), "{error_text}");
-        assert!(
-            error_text.contains("+     \"version\": \"3\""),
-            "{error_text}"
-        );
+        let told = String::from_utf8_lossy(&stale_put.stderr).into_owned();
+        assert!(told.contains("\"version\":\"2\""), "{told}");
+        assert!(told.contains("+     \"version\": \"3\""), "{told}");
 
         let bad = folder.path().join("bad.json");
         fs::write(
--- a/tests/testsuite/stopping.rs
+++ b/tests/testsuite/stopping.rs
@@ -87,7 +87,7 @@
 }
 
 /// Description of an exchange that a stopping instance must not cause.
-type Violation = String;
+type Complaint = String;
 
 /// Starts programs and makes calls at one instance until `exited` is set.
 fn persistent_caller(
@@ -95,10 +95,10 @@
     token: &str,
     number: usize,
     exited: Arc<AtomicBool>,
-) -> JoinHandle<Vec<Violation>> {
+) -> JoinHandle<Vec<Complaint>> {
     let mut caller = RawCaller::new(address, token, number.is_multiple_of(2));
     thread::spawn(move || {
-        let mut violations = Vec::new();
+        let mut complaints = Vec::new();
         for round in 0.. {
             if exited.load(Ordering::Relaxed) {
                 break;
@@ -106,22 +106,22 @@
             let begin = json!({
                 "key": format!("{number}-{round}"), "class": "dossier", "home": RUNNING_HOME});
             let first = caller.post("/v1/programs", &begin);
-            violations.extend(violation(&first));
+            complaints.extend(complaint(&first));
             let Some(program) = first.json()["program"].as_str().map(str::to_owned) else {
                 thread::sleep(CALLER_DELAY);
                 continue;
             };
             let path = format!("/v1/programs/{program}/calls/1");
             let second = caller.post(&path, &prompt(30, number.is_multiple_of(3)));
-            violations.extend(violation(&second));
+            complaints.extend(complaint(&second));
         }
-        violations
+        complaints
     })
 }
 
-/// Returns a violation if a request has no complete response, an incomplete stream or an unexpected status. A
+/// Returns a complaint if a request has no complete response, an incomplete stream or an unexpected status. A
 /// connection that was not accepted is none.
-fn violation(exchange: &Exchange) -> Option<Violation> {
+fn complaint(exchange: &Exchange) -> Option<Complaint> {
     match exchange {
         Exchange::NotConnected => None,
         Exchange::Broken(reason) => Some(reason.clone()),
@@ -156,11 +156,11 @@
         signal(&cluster, STOPPING, Signal::SIGTERM);
         let status = exit_status(&mut cluster, STOPPING).await;
         exited.store(true, Ordering::Relaxed);
-        let violations: Vec<Violation> = callers
+        let complaints: Vec<Complaint> = callers
             .into_iter()
             .flat_map(|caller| caller.join().expect("a caller that ends"))
             .collect();
-        assert!(violations.is_empty(), "{violations:#?}");
+        assert!(complaints.is_empty(), "{complaints:#?}");
         assert_eq!(status, 0, "{}", cluster.log_tail(STOPPING));
     });
 }
