--- a/crates/samphiregrade-gateway/src/exchange/attempt.rs
+++ b/crates/samphiregrade-gateway/src/exchange/attempt.rs
@@ -154,7 +154,7 @@
     /// An error describes a failure after part of the request was sent.
     async fn exchange(mut self, bytes: &[u8]) -> Result<AttemptOutcome, SendFailure> {
         let sent_at = Instant::now();
-        let writing = self.socket.write_until_answered(bytes).await;
+        let writing = self.socket.write_until_response(bytes).await;
         self.reusable =
             writing.map_err(SendFailure::upstream("did not accept the whole request"))?;
         loop {
--- a/crates/samphiregrade-gateway/src/exchange/connection.rs
+++ b/crates/samphiregrade-gateway/src/exchange/connection.rs
@@ -82,7 +82,7 @@
         }
         // The rest of a refused body or a further request may still arrive; closing at once would reset the connection
         // and could lose the last response.
-        self.socket.end_in_order().await;
+        self.socket.close_gracefully().await;
     }
 
     fn limits(&self) -> ClientLimits {
@@ -215,7 +215,7 @@
         let sent = tokio::select! {
             biased;
             sent = send_request(&context, &mut request, turn.as_ref(), record) => sent.map_err(Some),
-            () = self.socket.hung_up() => Err(None),
+            () = self.socket.wait_for_hangup() => Err(None),
             () = self.tokens.abort.cancelled() => Err(Some(abort_refusal(record))),
         };
         match sent {
--- a/crates/samphiregrade-gateway/src/exchange/relay.rs
+++ b/crates/samphiregrade-gateway/src/exchange/relay.rs
@@ -147,7 +147,7 @@
         Err(stop) => relay.describe_end(stop, &response, spent),
     };
     if framing == ClientFraming::Close && !matches!(end, RelayEnd::Truncated { .. }) {
-        relay.client.socket.close_in_order();
+        relay.client.socket.clear_reset_on_close();
     }
     end
 }
@@ -180,7 +180,7 @@
             let count = tokio::select! {
                 biased;
                 read = response.socket.fill() => read.map_err(|error| RelayStop::Upstream(error.to_string()))?,
-                () = self.client.socket.hung_up() => return Err(RelayStop::Client),
+                () = self.client.socket.wait_for_hangup() => return Err(RelayStop::Client),
                 () = self.client.abort.cancelled() => return Err(RelayStop::Stopping),
                 () = tokio::time::sleep_until(self.request.due.into()) => return Err(RelayStop::Deadline),
                 () = response.guard.upstream().wait_until_unreachable(BROKEN_PATH_TIMEOUT) => return Err(RelayStop::Path),
--- a/crates/samphiregrade-gateway/src/store/client.rs
+++ b/crates/samphiregrade-gateway/src/store/client.rs
@@ -220,11 +220,11 @@
         idle_socket: Option<WireSocket>,
     ) -> Result<(StoreResponse, Option<WireSocket>), String> {
         let describe = |error: std::io::Error| error.to_string();
-        let idle = idle_socket.and_then(|mut socket| socket.is_quiet().then_some(socket));
+        let idle = idle_socket.and_then(|mut socket| socket.is_reusable().then_some(socket));
         let mut socket = if let Some(socket) = idle {
             socket
         } else {
-            let limits = SocketLimits::for_held_answers();
+            let limits = SocketLimits::for_held_responses();
             let connecting = WireSocket::connect(self.address, CONNECT_TIMEOUT, &limits);
             connecting.await.map_err(describe)?
         };
--- a/crates/samphiregrade-gateway/src/upstream/peer.rs
+++ b/crates/samphiregrade-gateway/src/upstream/peer.rs
@@ -333,7 +333,7 @@
     pub fn take_idle(&self, now: Instant) -> Option<WireSocket> {
         let mut idle = lock_ignoring_poison(&self.idle);
         while let Some(mut connection) = idle.pop() {
-            if now < connection.expires && connection.socket.is_quiet() {
+            if now < connection.expires && connection.socket.is_reusable() {
                 return Some(connection.socket);
             }
         }
@@ -354,7 +354,7 @@
     /// Drops connections that have been idle for too long.
     pub fn sweep_idle(&self, now: Instant) {
         lock_ignoring_poison(&self.idle)
-            .retain_mut(|connection| now < connection.expires && connection.socket.is_quiet());
+            .retain_mut(|connection| now < connection.expires && connection.socket.is_reusable());
     }
 }
 
--- a/crates/samphiregrade-http/src/client.rs
+++ b/crates/samphiregrade-http/src/client.rs
@@ -17,7 +17,7 @@
 
 use crate::message::{HeaderList, OutgoingRequest, header_value};
 
-/// Chunks of a response body that may wait for their reader.
+/// Chunks of a response body that are buffered for the reader.
 const BODY_QUEUE: usize = 64;
 
 /// Seconds for which an idle connection is kept.
@@ -26,19 +26,19 @@
 /// Connections that one event-loop thread keeps to one host.
 const CONNECTION_LIMIT: usize = 4096;
 
-/// Why a request brought no whole response.
+/// Why a request received no complete response.
 #[derive(Clone, Debug, Error)]
 pub enum HttpError {
-    /// No byte of the request has left; it certainly did not run.
+    /// No byte of the request was sent, so the request did not run.
     #[error("the request was not sent: {0}; check that the address is right and listening")]
     NotSent(String),
     /// The request may have arrived; whether it ran is unknown.
     #[error(
-        "the connection broke before the whole response came: {0}; ask again with the same key"
+        "the connection broke before the complete response arrived: {0}; retry with the same key"
     )]
     Interrupted(String),
-    /// No response within the timeout; whether the request ran is unknown.
-    #[error("no response within the timeout; ask again later with the same key")]
+    /// No response arrived within the timeout; whether the request ran is unknown.
+    #[error("no response within the timeout; retry later with the same key")]
     TimedOut,
     /// The body is not the expected JSON.
     #[error("the response is not the expected JSON: {0}; check the server's version")]
@@ -46,14 +46,14 @@
 }
 
 impl HttpError {
-    /// Returns whether the request certainly never left.
+    /// Returns whether no byte of the request was sent.
     #[must_use]
     pub fn not_sent(&self) -> bool {
         matches!(self, Self::NotSent(_))
     }
 }
 
-/// A response whose body still comes in chunks.
+/// A response whose body arrives in chunks.
 #[derive(Debug)]
 pub struct IncomingResponse {
     /// HTTP status code.
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`HttpError::Interrupted`] or [`HttpError::TimedOut`] where the body breaks off.
+    /// Returns [`HttpError::Interrupted`] or [`HttpError::TimedOut`] when the body ends early.
     pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, HttpError> {
         self.chunks.recv().await.transpose()
     }
@@ -96,7 +96,7 @@
     ///
     /// # Errors
     ///
-    /// As [`read_all`](Self::read_all), and [`HttpError::Unreadable`] for anything but the
+    /// As [`read_all`](Self::read_all), and [`HttpError::Unreadable`] when the body is not the
     /// expected JSON.
     pub async fn read_json<Value>(&mut self) -> Result<Value, HttpError>
     where
@@ -133,11 +133,11 @@
     /// Sends a request and waits for the head of the response.
     ///
     /// Dropping the returned future or the response closes the connection, which cancels the
-    /// request at a server that looks for it.
+    /// request at a server that watches for closed connections.
     ///
     /// # Errors
     ///
-    /// [`HttpError::NotSent`] where nothing has left, otherwise [`HttpError::Interrupted`] or
+    /// [`HttpError::NotSent`] when nothing was sent, otherwise [`HttpError::Interrupted`] or
     /// [`HttpError::TimedOut`].
     pub async fn send(&self, request: OutgoingRequest) -> Result<IncomingResponse, HttpError> {
         let index = self.next.fetch_add(1, Ordering::Relaxed) % self.senders.len();
@@ -150,7 +150,7 @@
         response.await.map_err(interrupted)?
     }
 
-    /// Sends a request and reads the whole response as JSON, with its status.
+    /// Sends a request and returns the response's status and its complete body, parsed as JSON.
     ///
     /// # Errors
     ///
@@ -195,14 +195,14 @@
 }
 
 async fn run_jobs(mut jobs: mpsc::UnboundedReceiver<PoolJob>) {
-    let (Some(kept), Some(fresh)) = (make_client(KEEP_ALIVE).await, make_client(0).await) else {
+    let (Some(reusing), Some(fresh)) = (make_client(KEEP_ALIVE).await, make_client(0).await) else {
         return;
     };
     while let Some(job) = jobs.recv().await {
         let client = if job.request.fresh_connection {
             &fresh
         } else {
-            &kept
+            &reusing
         };
         ntex::rt::spawn(run_job(client.clone(), job));
     }
--- a/crates/samphiregrade-http/src/message.rs
+++ b/crates/samphiregrade-http/src/message.rs
@@ -24,18 +24,18 @@
         .map(|(_, value)| value.as_str())
 }
 
-/// A request as a server hands it to its handler, with the whole body read.
+/// A request as a server hands it to its handler, with the complete body read.
 #[derive(Clone, Debug)]
 pub struct IncomingRequest {
     /// Request method.
     pub method: Method,
     /// Path without the query.
     pub path: SmolStr,
-    /// Query without the question mark, empty where there is none.
+    /// Query without the question mark; empty if the URL has none.
     pub query: SmolStr,
     /// Headers with lower-case names.
     pub headers: HeaderList,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
@@ -81,9 +81,9 @@
 /// The body of a response.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// The whole body at once.
+    /// The complete body at once.
     Full(Bytes),
-    /// Chunks sent as they come, until the sender is dropped.
+    /// Chunks sent as they arrive, until the sender is dropped.
     Stream(mpsc::Receiver<Bytes>),
 }
 
@@ -92,14 +92,14 @@
 pub struct OutgoingResponse {
     /// HTTP status code.
     pub status: u16,
-    /// Headers besides the length.
+    /// Headers except the content length.
     pub headers: HeaderList,
     /// The body.
     pub body: ResponseBody,
 }
 
 impl OutgoingResponse {
-    /// Builds a response with a whole body of the given content type.
+    /// Builds a response with a complete body of the given content type.
     pub fn full<Body>(status: u16, content_type: &str, body: Body) -> Self
     where
         Body: Into<Bytes>,
@@ -152,16 +152,16 @@
     pub method: Method,
     /// Absolute URL.
     pub url: SmolStr,
-    /// Headers besides host and length.
+    /// Headers except host and content length.
     pub headers: HeaderList,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
     /// Longest wait for the head of the response, and then for each chunk of its body.
     pub timeout: Duration,
-    /// Whether to open a connection for this request alone.
+    /// Whether to open a separate connection for this request.
     ///
-    /// On a kept connection that the server has just closed it can't be told whether a request
-    /// arrived; on a fresh one a failure to connect is a certain sign that it did not.
+    /// On a reused connection that the server has just closed, the client can't know whether a
+    /// request arrived; on a fresh connection, a failure to connect proves that it did not.
     pub fresh_connection: bool,
 }
 
@@ -220,7 +220,7 @@
         self
     }
 
-    /// Chooses whether to open a connection for this request alone.
+    /// Sets whether to open a separate connection for this request.
     #[must_use]
     pub fn with_fresh_connection(mut self, fresh: bool) -> Self {
         self.fresh_connection = fresh;
--- a/crates/samphiregrade-http/src/server.rs
+++ b/crates/samphiregrade-http/src/server.rs
@@ -1,4 +1,4 @@
-//! The server: reads whole requests within limits and writes the handler's responses.
+//! The server: reads complete requests within limits and writes the handler's responses.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -24,7 +24,7 @@
 /// Slowest accepted rate for reading heads and bodies.
 const MINIMUM_BYTES_PER_SECOND: u16 = 64;
 
-/// Longest time that a graceful stop gives open connections; nothing is under way on them then.
+/// Longest time that a graceful stop waits for open connections; no request is in progress on them by then.
 const STOP_TIMEOUT: Seconds = Seconds(3);
 
 /// Limits of a server.
@@ -34,13 +34,13 @@
     pub body_limit: usize,
     /// Longest time for reading a body; a slower one is answered with 408.
     pub body_timeout: Duration,
-    /// Longest time for reading a head, in whole seconds.
+    /// Longest time for reading a head; fractions of a second are ignored.
     pub head_timeout: Duration,
-    /// Longest time an idle connection is kept, in whole seconds.
+    /// Longest time an idle connection is kept; fractions of a second are ignored.
     pub keep_alive: Duration,
     /// Event-loop threads.
     pub workers: usize,
-    /// Counts the requests, from the end of their heads to the last byte of their answers.
+    /// Counts the requests, from the end of their heads to the last byte of their responses.
     pub gate: RequestGate,
 }
 
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the error of the listener where it can't be used by the event loop.
+    /// Returns the listener's error if the event loop can't use the listener.
     pub fn start<Handler, Reply>(
         listener: TcpListener,
         settings: ServerSettings,
@@ -192,14 +192,14 @@
         builder.header(name.as_str(), value.as_str());
     }
     if outgoing.closes_connection() {
-        // The event loop writes this header itself and leaves out the handler's.
+        // The event loop writes the `connection` header itself and omits the handler's.
         builder.force_close();
     }
     match outgoing.body {
         ResponseBody::Full(body) if body.is_empty() => builder.body(body),
         ResponseBody::Full(body) => {
             let length = body.len() as u64;
-            let parts = stream::iter([Ok(body)]).chain(held_until_end(guard));
+            let parts = stream::iter([Ok(body)]).chain(hold_guard_until_end(guard));
             builder.body(SizedStream::new(length, Box::pin(parts)))
         }
         ResponseBody::Stream(receiver) => {
@@ -207,15 +207,17 @@
                 let chunk = receiver.recv().await?;
                 Some((Ok::<_, Infallible>(chunk), receiver))
             });
-            builder.streaming(Box::pin(chunks.chain(held_until_end(guard))))
+            builder.streaming(Box::pin(chunks.chain(hold_guard_until_end(guard))))
         }
     }
 }
 
-/// Ends the count of a request only once its body was taken for writing or its connection is gone.
-fn held_until_end<Failure>(guard: RequestGuard) -> impl Stream<Item = Result<Bytes, Failure>> {
+/// Keeps a request counted until its body was taken for writing or its connection is closed.
+fn hold_guard_until_end<Failure>(
+    guard: RequestGuard,
+) -> impl Stream<Item = Result<Bytes, Failure>> {
     stream::poll_fn(move |_| {
-        let _held = &guard;
+        let _guard = &guard;
         Poll::Ready(None)
     })
 }
--- a/crates/samphiregrade-http/src/wire/framing.rs
+++ b/crates/samphiregrade-http/src/wire/framing.rs
@@ -9,13 +9,13 @@
 /// Longest line of a chunk's size with its extensions, and longest trailer line, in bytes.
 const LINE_LIMIT: usize = 4096;
 
-/// A body whose end can't be told.
+/// A body whose end can't be determined.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum FramingError {
     /// The length is not a number.
     #[error("the content length is not a number; send digits only")]
     Length,
-    /// Two ways to tell the end, or two different lengths.
+    /// Both a length and chunks, or two different lengths.
     #[error("the body's length is given twice; send either a length or chunks")]
     Conflict,
     /// A transfer coding other than chunked.
@@ -26,28 +26,28 @@
     Chunk,
     /// The connection ended inside the body.
     #[error("the connection ended inside the body; send the whole body")]
-    Cut,
+    Truncated,
 }
 
-/// How the end of a body is told.
+/// How the end of a body is marked.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BodyFraming {
     /// There is no body.
     Empty,
-    /// A number of bytes.
+    /// The body has this number of bytes.
     Length(u64),
-    /// Chunks with an empty one at the end.
+    /// The body consists of chunks and ends with an empty chunk.
     Chunked,
     /// The body ends with its connection.
     UntilClose,
 }
 
-/// What the decoder found.
+/// What the decoder returns for the bytes in the buffer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum BodyPiece {
     /// Bytes of the body.
     Data(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     End,
     /// More bytes are needed.
     More,
@@ -64,14 +64,14 @@
     Done,
 }
 
-/// Takes a body's bytes off a buffer.
+/// Removes a body's bytes from a buffer.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyDecoder {
     state: DecoderState,
 }
 
 impl BodyDecoder {
-    /// Starts at the first byte of a body.
+    /// Creates a decoder that starts at the first byte of a body.
     #[must_use]
     pub fn new(framing: BodyFraming) -> Self {
         let state = match framing {
@@ -83,7 +83,7 @@
         Self { state }
     }
 
-    /// Takes the next piece.
+    /// Removes the next piece from the buffer.
     ///
     /// # Errors
     ///
@@ -100,12 +100,12 @@
                 }
                 DecoderState::Open => return Ok(BodyPiece::Data(buffer.split().freeze())),
                 DecoderState::Counted(left) => {
-                    let data = take_some(buffer, left);
+                    let data = take_up_to(buffer, left);
                     self.state = DecoderState::Counted(left - data.len() as u64);
                     return Ok(BodyPiece::Data(data));
                 }
                 DecoderState::ChunkData(left) => {
-                    let data = take_some(buffer, left);
+                    let data = take_up_to(buffer, left);
                     let rest = left - data.len() as u64;
                     self.state = if rest == 0 {
                         DecoderState::ChunkEnd
@@ -154,30 +154,30 @@
         }
     }
 
-    /// Tells the decoder that the connection ended in order.
+    /// Reports to the decoder that the connection was closed in order.
     ///
     /// # Errors
     ///
-    /// [`FramingError::Cut`] where the body isn't whole.
+    /// [`FramingError::Truncated`] if the body is incomplete.
     pub fn close(&mut self) -> Result<(), FramingError> {
         match self.state {
             DecoderState::Open | DecoderState::Done | DecoderState::Counted(0) => {
                 self.state = DecoderState::Done;
                 Ok(())
             }
-            _ => Err(FramingError::Cut),
+            _ => Err(FramingError::Truncated),
         }
     }
 }
 
-fn take_some(buffer: &mut BytesMut, most: u64) -> Bytes {
-    let length = usize::try_from(most)
+fn take_up_to(buffer: &mut BytesMut, limit: u64) -> Bytes {
+    let length = usize::try_from(limit)
         .unwrap_or(usize::MAX)
         .min(buffer.len());
     buffer.split_to(length).freeze()
 }
 
-/// Appends a chunk with its size and line ends.
+/// Appends a chunk with its size and line ends; appends nothing for empty data, which would end the body.
 pub fn append_chunk(output: &mut BytesMut, data: &[u8]) {
     if data.is_empty() {
         return;
--- a/crates/samphiregrade-http/src/wire/head.rs
+++ b/crates/samphiregrade-http/src/wire/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and responses, as slices of the bytes that came.
+//! Heads of requests and responses, as slices of the received bytes.
 
 use std::ops::Range;
 
@@ -7,7 +7,7 @@
 
 use super::framing::{BodyFraming, FramingError};
 
-/// Header lines that one head may have; a well-behaved client sends about a dozen.
+/// Largest number of header lines in one head; a well-behaved client sends about a dozen.
 const HEADER_LINES: usize = 96;
 
 /// A head that can't be served.
@@ -42,7 +42,7 @@
         self.fields.iter()
     }
 
-    /// Returns the first value of a header as text; `None` where it is absent or not text.
+    /// Returns the first value of a header as text; `None` if the header is absent or not UTF-8.
     #[must_use]
     pub fn text(&self, name: &str) -> Option<&str> {
         let field = self
@@ -77,7 +77,7 @@
         });
     }
 
-    /// Writes the lines for which the filter holds, each with its line end.
+    /// Writes the lines that the filter selects, each with its line end.
     pub fn write_if<Filter>(&self, output: &mut BytesMut, mut filter: Filter)
     where
         Filter: FnMut(&HeaderField) -> bool,
@@ -140,7 +140,7 @@
     }
 }
 
-/// Parses a whole number that consists of digits only.
+/// Parses a decimal integer that consists of digits only.
 #[must_use]
 pub fn decimal(text: &[u8]) -> Option<u64> {
     if text.is_empty() || !text.iter().all(u8::is_ascii_digit) {
@@ -163,7 +163,7 @@
 }
 
 impl RequestHead {
-    /// Takes a head off the front of the buffer; `None` until it is whole.
+    /// Removes a head from the front of the buffer; returns `None` until the head is complete.
     ///
     /// # Errors
     ///
@@ -171,14 +171,14 @@
     pub fn take(buffer: &mut BytesMut, limit: usize) -> Result<Option<Self>, HeadError> {
         let mut lines = [httparse::EMPTY_HEADER; HEADER_LINES];
         let mut request = httparse::Request::new(&mut lines);
-        let Some(length) = whole(request.parse(buffer), buffer.len(), limit)? else {
+        let Some(length) = complete_length(request.parse(buffer), buffer.len(), limit)? else {
             return Ok(None);
         };
         let base = buffer.as_ptr() as usize;
         let method = span(base, request.method.unwrap_or_default().as_bytes());
         let target = span(base, request.path.unwrap_or_default().as_bytes());
         let minor_version = request.version.unwrap_or(1);
-        let spans = spans(base, request.headers);
+        let spans = field_spans(base, request.headers);
         let raw = buffer.split_to(length).freeze();
         Ok(Some(Self {
             method: raw.slice(method),
@@ -192,7 +192,7 @@
     ///
     /// # Errors
     ///
-    /// [`FramingError`] where lengths conflict, since two readers could see two different requests.
+    /// [`FramingError`] if lengths conflict, because two readers could see two different requests.
     pub fn framing(&self) -> Result<BodyFraming, FramingError> {
         let length = self.fields.lengths()?;
         let chunked = self.fields.chunked()?;
@@ -205,17 +205,17 @@
         }
     }
 
-    /// Returns the path without the query, where it is text.
+    /// Returns the path without the query; `None` if the target is not UTF-8.
     #[must_use]
     pub fn path(&self) -> Option<&str> {
         let target = std::str::from_utf8(&self.target).ok()?;
         Some(target.split_once('?').map_or(target, |(path, _)| path))
     }
 
-    /// Returns whether the sender keeps the connection after the answer.
+    /// Returns whether the sender keeps the connection open after the response.
     #[must_use]
     pub fn keeps_connection(&self) -> bool {
-        keeps(&self.fields, self.minor_version)
+        is_kept(&self.fields, self.minor_version)
     }
 }
 
@@ -233,7 +233,7 @@
 }
 
 impl ResponseHead {
-    /// Takes a head off the front of the buffer; `None` until it is whole.
+    /// Removes a head from the front of the buffer; returns `None` until the head is complete.
     ///
     /// # Errors
     ///
@@ -241,14 +241,14 @@
     pub fn take(buffer: &mut BytesMut, limit: usize) -> Result<Option<Self>, HeadError> {
         let mut lines = [httparse::EMPTY_HEADER; HEADER_LINES];
         let mut response = httparse::Response::new(&mut lines);
-        let Some(length) = whole(response.parse(buffer), buffer.len(), limit)? else {
+        let Some(length) = complete_length(response.parse(buffer), buffer.len(), limit)? else {
             return Ok(None);
         };
         let base = buffer.as_ptr() as usize;
         let reason = span(base, response.reason.unwrap_or_default().as_bytes());
         let status = response.code.unwrap_or_default();
         let minor_version = response.version.unwrap_or(1);
-        let spans = spans(base, response.headers);
+        let spans = field_spans(base, response.headers);
         let raw = buffer.split_to(length).freeze();
         Ok(Some(Self {
             status,
@@ -262,7 +262,7 @@
     ///
     /// # Errors
     ///
-    /// [`FramingError`] where lengths conflict.
+    /// [`FramingError`] if lengths conflict.
     pub fn framing(&self) -> Result<BodyFraming, FramingError> {
         if matches!(self.status, 100..=199 | 204 | 304) {
             return Ok(BodyFraming::Empty);
@@ -277,13 +277,13 @@
         }
     }
 
-    /// Returns whether the sender keeps the connection after the answer.
+    /// Returns whether the sender keeps the connection open after the response.
     #[must_use]
     pub fn keeps_connection(&self) -> bool {
-        keeps(&self.fields, self.minor_version)
+        is_kept(&self.fields, self.minor_version)
     }
 
-    /// Returns the whole seconds for which the sender keeps an idle connection, where it says so.
+    /// Returns the seconds for which the sender keeps an idle connection, if its `keep-alive` header states them.
     #[must_use]
     pub fn idle_seconds(&self) -> Option<u64> {
         let value = self.fields.text("keep-alive")?;
@@ -294,14 +294,14 @@
     }
 }
 
-fn keeps(fields: &HeaderFields, minor_version: u8) -> bool {
+fn is_kept(fields: &HeaderFields, minor_version: u8) -> bool {
     if minor_version == 0 {
         return fields.lists("connection", "keep-alive");
     }
     !fields.lists("connection", "close")
 }
 
-fn whole(
+fn complete_length(
     parsed: httparse::Result<usize>,
     present: usize,
     limit: usize,
@@ -316,7 +316,7 @@
     }
 }
 
-/// Where a header's name and value stand in the head.
+/// Byte ranges of a header's name and value in the head.
 struct FieldSpan {
     name: Range<usize>,
     value: Range<usize>,
@@ -330,7 +330,7 @@
     start..start + part.len()
 }
 
-fn spans(base: usize, headers: &[httparse::Header<'_>]) -> Vec<FieldSpan> {
+fn field_spans(base: usize, headers: &[httparse::Header<'_>]) -> Vec<FieldSpan> {
     headers
         .iter()
         .map(|header| FieldSpan {
--- a/crates/samphiregrade-http/src/wire/queue.rs
+++ b/crates/samphiregrade-http/src/wire/queue.rs
@@ -1,6 +1,6 @@
-//! What the kernel still holds of the bytes that a program has written to a connection.
+//! Size of a connection's kernel send queue.
 
-// The one call that no safe interface offers: it writes an integer for an open descriptor and nothing else.
+// No safe interface offers this ioctl, which writes one integer for an open descriptor and nothing else.
 #![allow(unsafe_code)]
 
 use std::io;
@@ -10,11 +10,11 @@
 
 nix::ioctl_read_bad!(read_output_queue, libc::TIOCOUTQ, libc::c_int);
 
-/// Returns the bytes that were written to a connection and not yet acknowledged by its peer's system.
+/// Returns the number of bytes that were written to a connection and not yet acknowledged by the peer's system.
 ///
 /// # Errors
 ///
-/// The system's error where it does not tell.
+/// The system's error if it doesn't report the number.
 pub fn unacknowledged<Connection>(connection: &Connection) -> io::Result<usize>
 where
     Connection: AsFd,
--- a/crates/samphiregrade-http/src/wire/socket.rs
+++ b/crates/samphiregrade-http/src/wire/socket.rs
@@ -10,46 +10,46 @@
 
 use super::queue::unacknowledged;
 
-/// New connections that may wait to be accepted; a burst of every client of a failure domain fits.
+/// Length of the accept queue; a burst of connections from every client of a failure domain fits.
 pub const ACCEPT_QUEUE: u16 = 1024;
 
 /// Bytes read ahead of a request that is being served; a further request of the same client fits.
 const READ_AHEAD: usize = 64 << 10;
 
-/// Longest time that an end in order waits for the peer to end its side: it has read the last answer within some round
-/// trips, also where a packet was lost.
-const LAST_READ_TIME: Duration = Duration::from_secs(2);
+/// Longest time that an orderly close waits for the peer to close its side: the peer has read the last response within
+/// a few round trips, even if a packet was lost.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Bytes that an end in order reads over: what was on its way when the last answer was written. Who sends more goes on
-/// regardless.
-const LAST_READ_BYTES: usize = 4 << 20;
+/// Bytes that an orderly close discards: the data in flight when the last response was written. A peer that sends more
+/// would continue regardless.
+const DRAIN_LIMIT: usize = 4 << 20;
 
-/// Room made before each read.
-const READ_ROOM: usize = 8 << 10;
+/// Buffer space reserved before each read, in bytes.
+const READ_RESERVE: usize = 8 << 10;
 
-/// When the system gives a silent peer up.
+/// When the system closes the connection to an unresponsive peer.
 #[derive(Clone, Copy, Debug)]
-pub struct SilenceLimits {
-    /// Silence after which the system asks whether the peer is there.
+pub struct LivenessLimits {
+    /// Idle time after which the system sends a keepalive probe.
     pub probe_after: Duration,
-    /// Time between two such questions.
+    /// Time between two probes.
     pub probe_interval: Duration,
-    /// Unanswered questions after which the connection is given up.
+    /// Unanswered probes after which the system closes the connection.
     pub probe_count: u32,
     /// Longest time that sent bytes may stay unacknowledged.
     pub unacknowledged: Duration,
 }
 
-impl SilenceLimits {
-    /// Returns the time after which a silent path is noticed, whether something was sent or not.
+impl LivenessLimits {
+    /// Returns the time after which an unresponsive path is detected, whether data was sent or not.
     #[must_use]
-    pub fn noticed_after(&self) -> Duration {
+    pub fn detection_time(&self) -> Duration {
         let probed = self.probe_after + self.probe_interval * self.probe_count;
         probed.max(self.unacknowledged)
     }
 }
 
-impl Default for SilenceLimits {
+impl Default for LivenessLimits {
     fn default() -> Self {
         Self {
             probe_after: Duration::from_secs(2),
@@ -63,16 +63,16 @@
 /// How a connection ends.
 #[derive(Clone, Copy, Debug)]
 pub struct SocketLimits {
-    /// When the system gives a silent peer up; `None` where the caller's own times end all waiting.
-    pub silence: Option<SilenceLimits>,
-    /// Whether closing resets the connection. An orderly close leaves queued bytes to the kernel, which goes on
-    /// sending them for seconds: a request that was given up while its path was cut would still arrive after it.
+    /// When the system closes the connection to an unresponsive peer; `None` if the caller's timeouts end all waits.
+    pub liveness: Option<LivenessLimits>,
+    /// Whether closing resets the connection. An orderly close leaves queued bytes to the kernel, which continues
+    /// to send them for seconds: a request abandoned during a network partition would still arrive after the partition.
     pub reset_on_close: bool,
 }
 
 impl SocketLimits {
-    /// Returns the limits of a connection for calls that nobody has to take back: reset when it is closed, and given up
-    /// by the system where its peer is silent.
+    /// Returns the limits of a connection for calls that need no cancellation: closing resets the connection, and the
+    /// system closes it if the peer is unresponsive.
     #[must_use]
     pub fn for_calls() -> Self {
         Self {
@@ -81,29 +81,29 @@
         }
     }
 
-    /// Returns the limits of a connection on which an answer may be held back for long: a silent path looks like an answer
-    /// that is not due yet, so that the system alone can notice it.
+    /// Returns the limits of a connection on which a response may be held for a long time: an unresponsive path looks
+    /// like a response that is not due yet, so only the system can detect it.
     #[must_use]
-    pub fn for_held_answers() -> Self {
+    pub fn for_held_responses() -> Self {
         Self {
-            silence: Some(SilenceLimits {
+            liveness: Some(LivenessLimits {
                 probe_after: Duration::from_secs(1),
                 probe_count: 1,
                 unacknowledged: Duration::from_secs(2),
-                ..SilenceLimits::default()
+                ..LivenessLimits::default()
             }),
             reset_on_close: true,
         }
     }
 
-    /// Returns the limits of a connection that carries requests which must not arrive after they were given up.
+    /// Returns the limits of a connection that carries requests which must not arrive after they were abandoned.
     ///
-    /// The system must not end it before its caller does: what it still holds may arrive then, and can't be taken
-    /// back by a reset any more.
+    /// The system must not close the connection before its caller does: bytes still in the send queue may arrive then,
+    /// and a reset can no longer discard them.
     #[must_use]
     pub fn for_requests() -> Self {
         Self {
-            silence: None,
+            liveness: None,
             reset_on_close: true,
         }
     }
@@ -112,17 +112,17 @@
 impl Default for SocketLimits {
     fn default() -> Self {
         Self {
-            silence: Some(SilenceLimits::default()),
+            liveness: Some(LivenessLimits::default()),
             reset_on_close: false,
         }
     }
 }
 
-/// Listens on an address with room for many waiting connections.
+/// Listens on an address with an accept queue of [`ACCEPT_QUEUE`] connections.
 ///
 /// # Errors
 ///
-/// The system's error, for example where the port is taken.
+/// The system's error, for example if the port is in use.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(
         Domain::for_address(address),
@@ -136,33 +136,34 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Makes a connection send at once, end when its peer falls silent, and close as its limits say.
+/// Makes a connection send without delay, close when its peer becomes unresponsive, and reset on close as its limits
+/// require.
 ///
 /// # Errors
 ///
-/// The system's error where an option can't be set.
+/// The system's error if an option can't be set.
 pub fn apply_limits(stream: &TcpStream, limits: &SocketLimits) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let options = SockRef::from(stream);
     if limits.reset_on_close {
         options.set_linger(Some(Duration::ZERO))?;
     }
-    let Some(silence) = limits.silence else {
+    let Some(liveness) = limits.liveness else {
         return Ok(());
     };
     let keepalive = TcpKeepalive::new()
-        .with_time(silence.probe_after)
-        .with_interval(silence.probe_interval)
-        .with_retries(silence.probe_count);
+        .with_time(liveness.probe_after)
+        .with_interval(liveness.probe_interval)
+        .with_retries(liveness.probe_count);
     options.set_tcp_keepalive(&keepalive)?;
-    options.set_tcp_user_timeout(Some(silence.unacknowledged))
+    options.set_tcp_user_timeout(Some(liveness.unacknowledged))
 }
 
-/// A connected socket with the bytes that were read and not yet used.
+/// A connected socket with its read buffer.
 #[derive(Debug)]
 pub struct WireSocket {
     stream: TcpStream,
-    /// Bytes that were read and not yet used.
+    /// Bytes that were read and not yet consumed.
     pub buffer: BytesMut,
     /// Whether closing resets the connection.
     resets: bool,
@@ -173,7 +174,7 @@
     ///
     /// # Errors
     ///
-    /// The system's error where an option can't be set.
+    /// The system's error if an option can't be set.
     pub fn new(stream: TcpStream, limits: &SocketLimits) -> io::Result<Self> {
         apply_limits(&stream, limits)?;
         Ok(Self {
@@ -198,7 +199,7 @@
         Self::new(stream, limits)
     }
 
-    /// Reads what has come; 0 where the peer has ended its side. Safe to cancel.
+    /// Reads the available bytes into the buffer; returns 0 if the peer has closed its side. Safe to cancel.
     ///
     /// # Errors
     ///
@@ -226,15 +227,15 @@
         Ok(())
     }
 
-    /// Writes a request while already looking for an answer; returns whether all bytes left.
+    /// Writes a request while already checking for a response; returns whether all bytes were written.
     ///
-    /// A peer may answer before it has read the whole request. The write ends as soon as bytes of an
-    /// answer are there.
+    /// A peer may respond before it has read the complete request. The write ends as soon as bytes of a
+    /// response arrive.
     ///
     /// # Errors
     ///
     /// The connection's error.
-    pub async fn write_until_answered(&mut self, bytes: &[u8]) -> io::Result<bool> {
+    pub async fn write_until_response(&mut self, bytes: &[u8]) -> io::Result<bool> {
         let Self { stream, buffer, .. } = self;
         let mut sent = 0;
         while sent < bytes.len() {
@@ -259,17 +260,17 @@
         Ok(true)
     }
 
-    /// Returns the bytes that were written and that the peer's system has not acknowledged.
+    /// Returns the number of bytes that were written and that the peer's system has not acknowledged.
     ///
     /// # Errors
     ///
-    /// The system's error where it does not tell.
+    /// The system's error if it doesn't report the number.
     pub fn unacknowledged(&self) -> io::Result<usize> {
         unacknowledged(&self.stream)
     }
 
-    /// Waits until the peer has hung up, reading a little ahead meanwhile. Safe to cancel.
-    pub async fn hung_up(&mut self) {
+    /// Waits until the peer closes the connection, reading up to [`READ_AHEAD`] bytes meanwhile. Safe to cancel.
+    pub async fn wait_for_hangup(&mut self) {
         while self.buffer.len() < READ_AHEAD {
             match self.fill().await {
                 Ok(0) | Err(_) => return,
@@ -279,9 +280,9 @@
         std::future::pending::<()>().await;
     }
 
-    /// Returns whether the connection is open with nothing to read: fit for another request.
+    /// Returns whether the connection is open with nothing to read, and can be reused for another request.
     #[must_use]
-    pub fn is_quiet(&mut self) -> bool {
+    pub fn is_reusable(&mut self) -> bool {
         if !self.buffer.is_empty() {
             return false;
         }
@@ -289,41 +290,41 @@
         matches!(self.stream.try_read(&mut probe), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Ends the sending side and throws away what still comes, so that what was written last arrives: the system resets
-    /// a connection that is closed with bytes unread, and with it goes what the peer has not taken yet.
+    /// Closes the sending side and discards further input, so that the last written bytes arrive: the system resets a
+    /// connection that is closed with unread bytes, and the reset discards what the peer has not received yet.
     ///
-    /// A connection that is to be reset ends at once.
-    pub async fn end_in_order(mut self) {
+    /// A connection that is to be reset is closed immediately.
+    pub async fn close_gracefully(mut self) {
         if self.resets {
             return;
         }
         if let Err(error) = SockRef::from(&self.stream).shutdown(Shutdown::Write) {
-            log::debug!("a connection has ended by itself: {error}");
+            log::debug!("the connection was already closed: {error}");
             return;
         }
-        // A peer that does not end its side in this time is not waited for.
-        let _ = tokio::time::timeout(LAST_READ_TIME, read_over(&mut self)).await;
+        // A peer that doesn't close its side within this time is closed without further waiting.
+        let _ = tokio::time::timeout(DRAIN_TIMEOUT, discard_input(&mut self)).await;
     }
 
-    /// Makes closing the connection reset it, so that the peer can't take its end for a whole answer.
+    /// Makes closing the connection reset it, so that the peer can't mistake a broken response for a complete one.
     pub fn reset_on_close(&mut self) {
         self.set_reset(true);
     }
 
-    /// Makes closing the connection an orderly end again: what was written is whole.
-    pub fn close_in_order(&mut self) {
+    /// Makes closing the connection orderly again, once the written response is complete.
+    pub fn clear_reset_on_close(&mut self) {
         self.set_reset(false);
     }
 
     fn set_reset(&mut self, resets: bool) {
         self.resets = resets;
-        // Without the option the close is an orderly one; chunked and counted bodies still show the cut.
+        // If the option can't be set, the close is orderly; an incomplete chunked or counted body is still noticed.
         let _ = SockRef::from(&self.stream).set_linger(resets.then_some(Duration::ZERO));
     }
 }
 
-async fn read_over(socket: &mut WireSocket) {
-    let mut left = LAST_READ_BYTES;
+async fn discard_input(socket: &mut WireSocket) {
+    let mut left = DRAIN_LIMIT;
     while left > 0 {
         socket.buffer.clear();
         match socket.fill().await {
@@ -337,7 +338,7 @@
 async fn read_some(stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<usize> {
     loop {
         stream.readable().await?;
-        buffer.reserve(READ_ROOM);
+        buffer.reserve(READ_RESERVE);
         match stream.try_read_buf(buffer) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             other => return other,
--- a/crates/samphiregrade-http/tests/closing.rs
+++ b/crates/samphiregrade-http/tests/closing.rs
@@ -1,4 +1,4 @@
-//! Servers that end while clients stay.
+//! Servers that shut down while clients keep sending requests.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -17,10 +17,10 @@
 /// Clients that open a connection for each request.
 const CLIENTS: usize = 8;
 
-/// Closings in the test of a listener; one alone would seldom meet a connection that waits to be accepted.
+/// Repetitions of the listener test; a single close would seldom coincide with a non-empty accept queue.
 const CLOSINGS: usize = 10;
 
-/// Time in which clients come after something; nothing is checked by it.
+/// Time for clients to connect after the listener is closed; no check depends on its length.
 const MOMENT: Duration = Duration::from_millis(100);
 
 fn bind() -> (TcpListener, SocketAddr) {
@@ -37,11 +37,11 @@
     Ok(text)
 }
 
-async fn closing_answer(_: IncomingRequest) -> OutgoingResponse {
+async fn closing_response(_: IncomingRequest) -> OutgoingResponse {
     OutgoingResponse::full(200, "text/plain", "whole").with_header("connection", "close")
 }
 
-async fn gone<Output>(thread: thread::JoinHandle<Output>) -> Output
+async fn join_thread<Output>(thread: thread::JoinHandle<Output>) -> Output
 where
     Output: Send + 'static,
 {
@@ -53,13 +53,13 @@
 }
 
 #[test]
-fn answer_that_closes_its_connection_says_so_and_does() {
+fn closing_response_announces_and_closes_the_connection() {
     run_system(async {
         let (listener, address) = bind();
-        let server = HttpServer::start(listener, ServerSettings::default(), closing_answer);
+        let server = HttpServer::start(listener, ServerSettings::default(), closing_response);
         let server = server.expect("a server");
         let client = thread::spawn(move || fetch(&TcpStream::connect(address)?));
-        let text = gone(client)
+        let text = join_thread(client)
             .await
             .expect("a connection that the server closes");
         let close = text.matches("connection: close").count();
@@ -69,17 +69,17 @@
 }
 
 #[test]
-fn closed_listener_loses_no_connection_that_was_taken() {
+fn closing_the_listener_loses_no_accepted_connection() {
     for _ in 0..CLOSINGS {
         run_system(async {
             let (listener, address) = bind();
             let closer = ListenerCloser::of(&listener).expect("a closer");
-            let server = HttpServer::start(listener, ServerSettings::default(), closing_answer);
+            let server = HttpServer::start(listener, ServerSettings::default(), closing_response);
             let server = server.expect("a server");
             let ended = Arc::new(AtomicBool::new(false));
-            let (first_answer, mut answered) = mpsc::unbounded_channel();
+            let (first_response, mut answered) = mpsc::unbounded_channel();
             let clients: Vec<_> = (0..CLIENTS)
-                .map(|_| come_until(address, ended.clone(), first_answer.clone()))
+                .map(|_| connect_until(address, ended.clone(), first_response.clone()))
                 .collect();
             for _ in &clients {
                 answered.recv().await.expect("a client that is served");
@@ -88,7 +88,7 @@
             tokio::time::sleep(MOMENT).await;
             ended.store(true, Ordering::Relaxed);
             for client in clients {
-                let broken = gone(client).await;
+                let broken = join_thread(client).await;
                 assert!(broken.is_empty(), "{broken:?}");
             }
             server.stop(false).await;
@@ -96,14 +96,14 @@
     }
 }
 
-/// Sends requests, each on a connection of its own; tells of the first answer and returns what broke.
-fn come_until(
+/// Sends requests, each on its own connection; reports the first response and returns the failed attempts.
+fn connect_until(
     address: SocketAddr,
     ended: Arc<AtomicBool>,
-    first_answer: mpsc::UnboundedSender<()>,
+    first_response: mpsc::UnboundedSender<()>,
 ) -> thread::JoinHandle<Vec<String>> {
     thread::spawn(move || {
-        let (mut told, mut broken) = (false, Vec::new());
+        let (mut reported, mut broken) = (false, Vec::new());
         while !ended.load(Ordering::Relaxed) {
             let Ok(stream) = TcpStream::connect(address) else {
                 thread::sleep(Duration::from_millis(1));
@@ -111,10 +111,10 @@
             };
             match fetch(&stream) {
                 Ok(text) if text.ends_with("whole") => {
-                    if !told {
-                        first_answer.send(()).expect("a test that waits");
+                    if !reported {
+                        first_response.send(()).expect("a test that waits");
                     }
-                    told = true;
+                    reported = true;
                 }
                 other => broken.push(format!("{other:?}")),
             }
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn streamed_answer_counts_until_its_end_and_late_requests_count_apart() {
+fn streamed_response_counts_until_its_end_and_late_requests_count_separately() {
     run_system(async {
         let (listener, address) = bind();
         let gate = RequestGate::default();
@@ -156,9 +156,9 @@
         let late = opened.recv().await.expect("a request");
         assert_eq!((gate.admitted(), gate.under_way()), (1, 2));
         drop(early);
-        gone(first).await.expect("a whole answer");
+        join_thread(first).await.expect("a complete response");
         drop(late);
-        gone(second).await.expect("a whole answer");
+        join_thread(second).await.expect("a complete response");
         while gate.under_way() > 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
--- a/crates/samphiregrade-http/tests/socket.rs
+++ b/crates/samphiregrade-http/tests/socket.rs
@@ -1,4 +1,4 @@
-//! Sockets of the wire: what the system still holds, and what becomes of it.
+//! Sockets: unacknowledged bytes, orderly close and reset, and keepalive limits.
 
 use std::time::Duration;
 
@@ -7,20 +7,20 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// More than both systems hold for a program that does not read.
+/// More bytes than both systems buffer for a program that doesn't read.
 const LONG: usize = 32 << 20;
 
-/// Bytes of an answer that both systems hold together, and the peer's alone does not.
-const LAST_ANSWER: usize = 512 << 10;
+/// Bytes of a response that fit into the buffers of both systems together, but not into the peer's alone.
+const LAST_RESPONSE: usize = 512 << 10;
 
 /// Time within which a configuration has to be in force.
 const CONFIGURATION_TIME: Duration = Duration::from_secs(2);
 
-/// Time given to something that may not come; nothing depends on it.
+/// Time to wait for an event that may not happen; no result depends on its length.
 const MOMENT: Duration = Duration::from_millis(200);
 
 #[tokio::test]
-async fn bytes_that_the_peer_does_not_take_are_told() {
+async fn unread_bytes_are_reported_as_unacknowledged() {
     let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let address = listener.local_addr().expect("an address");
     let limits = SocketLimits::for_requests();
@@ -34,13 +34,13 @@
     assert!(socket.unacknowledged().expect("a number") > 0);
     let mut taken = vec![0; 1 << 20];
     while socket.unacknowledged().expect("a number") > 0 {
-        // The last acknowledgement may come after the last byte was read.
+        // The last acknowledgement may arrive after the last byte was read.
         let _ = tokio::time::timeout(MOMENT, peer.read(&mut taken)).await;
     }
 }
 
-/// Sends a last answer to a peer that reads nothing yet, sends a further request, and reads then; returns what it got.
-async fn last_answer<Ending, Ended>(end: Ending) -> std::io::Result<usize>
+/// Writes a last response to a client that sends a further request before it reads; returns the bytes that it reads.
+async fn last_response<Ending, Ended>(end: Ending) -> std::io::Result<usize>
 where
     Ending: FnOnce(WireSocket) -> Ended,
     Ended: Future<Output = ()> + Send + 'static,
@@ -52,7 +52,7 @@
     let mut client = connecting.await.expect("a connection");
     let (stream, _) = listener.accept().await.expect("a connection");
     let server = WireSocket::new(stream, &limits).expect("a socket");
-    let bytes = vec![b'x'; LAST_ANSWER];
+    let bytes = vec![b'x'; LAST_RESPONSE];
     let writing = server.write(&bytes);
     writing.await.expect("room in both systems");
     client.write(b"further request").await.expect("room");
@@ -71,35 +71,35 @@
 }
 
 #[tokio::test]
-async fn last_answer_arrives_whole_where_the_peer_has_sent_more() {
-    let read = last_answer(WireSocket::end_in_order).await;
-    assert_eq!(read.expect("no reset"), LAST_ANSWER);
+async fn last_response_arrives_completely_after_further_input() {
+    let read = last_response(WireSocket::close_gracefully).await;
+    assert_eq!(read.expect("no reset"), LAST_RESPONSE);
 }
 
 #[tokio::test]
-async fn connection_that_is_to_be_reset_does_not_end_in_order() {
-    let read = last_answer(|mut server| {
+async fn connection_marked_for_reset_is_not_closed_gracefully() {
+    let read = last_response(|mut server| {
         server.reset_on_close();
-        server.end_in_order()
+        server.close_gracefully()
     });
     read.await.expect_err("a reset");
 }
 
-// Guards against keepers that all hold an old configuration for longer than it may be in force: a watch without changes
-// is held for many seconds, and its path fell silent meanwhile.
+// Guards against keepers that all keep an old configuration for longer than it may be in force: a watch without
+// changes is held for many seconds, and its path becomes unresponsive meanwhile.
 #[test]
-fn silent_path_of_a_held_answer_is_noticed_within_the_time_of_a_configuration() {
-    let limits = SocketLimits::for_held_answers();
-    let silence = limits.silence.expect("the system watches the path");
-    assert!(silence.noticed_after() <= CONFIGURATION_TIME);
+fn unresponsive_path_of_a_held_response_is_detected_within_the_configuration_time() {
+    let limits = SocketLimits::for_held_responses();
+    let liveness = limits.liveness.expect("the system monitors the path");
+    assert!(liveness.detection_time() <= CONFIGURATION_TIME);
 }
 
 #[tokio::test]
-async fn limits_of_silence_reach_the_system() {
+async fn keepalive_limits_are_set_on_the_socket() {
     let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let address = listener.local_addr().expect("an address");
-    let limits = SocketLimits::for_held_answers();
-    let silence = limits.silence.expect("the system watches the path");
+    let limits = SocketLimits::for_held_responses();
+    let liveness = limits.liveness.expect("the system monitors the path");
     let stream = TcpStream::connect(address).await.expect("a connection");
     apply_limits(&stream, &limits).expect("accepted options");
     let options = SockRef::from(&stream);
@@ -108,8 +108,8 @@
     let probe_interval = options.tcp_keepalive_interval().expect("a time");
     let probe_count = options.tcp_keepalive_retries().expect("a count");
     let unacknowledged = options.tcp_user_timeout().expect("a time");
-    assert_eq!(probe_after, silence.probe_after);
-    assert_eq!(probe_interval, silence.probe_interval);
-    assert_eq!(probe_count, silence.probe_count);
-    assert_eq!(unacknowledged, Some(silence.unacknowledged));
+    assert_eq!(probe_after, liveness.probe_after);
+    assert_eq!(probe_interval, liveness.probe_interval);
+    assert_eq!(probe_count, liveness.probe_count);
+    assert_eq!(unacknowledged, Some(liveness.unacknowledged));
 }
--- a/crates/samphiregrade-http/tests/wire.rs
+++ b/crates/samphiregrade-http/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Heads and bodies on the wire, whole and in pieces, well-formed and hostile.
+//! Parsing of heads and bodies: complete and in pieces, well-formed and malicious.
 
 use bytes::{Bytes, BytesMut};
 use quickcheck::quickcheck;
@@ -13,17 +13,17 @@
     let mut buffer = BytesMut::from(text);
     RequestHead::take(&mut buffer, HEAD_LIMIT)
         .expect("a valid head")
-        .expect("a whole head")
+        .expect("a complete head")
 }
 
 fn response(text: &str) -> ResponseHead {
     let mut buffer = BytesMut::from(text);
     ResponseHead::take(&mut buffer, HEAD_LIMIT)
         .expect("a valid head")
-        .expect("a whole head")
+        .expect("a complete head")
 }
 
-/// Decodes a body that comes in pieces of a given size; returns it with what follows it.
+/// Decodes a body that arrives in pieces of a given size; returns the body and the bytes after it.
 fn decode(
     framing: BodyFraming,
     bytes: &[u8],
@@ -49,7 +49,7 @@
 }
 
 quickcheck! {
-    fn chunked_body_is_whole_however_it_is_cut(chunks: Vec<Vec<u8>>, step: usize) -> bool {
+    fn chunked_body_is_complete_for_any_split(chunks: Vec<Vec<u8>>, step: usize) -> bool {
         let mut bytes = BytesMut::new();
         for chunk in &chunks {
             append_chunk(&mut bytes, chunk);
@@ -60,14 +60,14 @@
         decode(BodyFraming::Chunked, &bytes, step % 40) == Ok((expected, b"next".to_vec()))
     }
 
-    fn counted_body_leaves_what_follows(body: Vec<u8>, step: usize) -> bool {
+    fn counted_body_leaves_the_following_bytes(body: Vec<u8>, step: usize) -> bool {
         let mut bytes = body.clone();
         bytes.extend_from_slice(b"next");
         let framing = BodyFraming::Length(body.len() as u64);
         decode(framing, &bytes, step % 40) == Ok((body, b"next".to_vec()))
     }
 
-    fn head_is_found_however_it_is_cut(step: usize) -> bool {
+    fn head_is_parsed_for_any_split(step: usize) -> bool {
         let text = b"POST /a/b?c=d HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc";
         let mut buffer = BytesMut::new();
         for piece in text.chunks(step % 20 + 1) {
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn odd_lengths_and_codings_are_refused() {
+fn invalid_lengths_and_codings_are_refused() {
     for value in ["+3", "-1", "3 ", "0x3", "", "3,3"] {
         let text = format!("POST / HTTP/1.1\r\nContent-Length: {value}x\r\n\r\n");
         assert_eq!(
@@ -129,9 +129,9 @@
     let mut open = BodyDecoder::new(BodyFraming::UntilClose);
     assert_eq!(open.close(), Ok(()));
     let mut counted = BodyDecoder::new(BodyFraming::Length(2));
-    assert_eq!(counted.close(), Err(FramingError::Cut));
+    assert_eq!(counted.close(), Err(FramingError::Truncated));
     let mut chunked = BodyDecoder::new(BodyFraming::Chunked);
-    assert_eq!(chunked.close(), Err(FramingError::Cut));
+    assert_eq!(chunked.close(), Err(FramingError::Truncated));
 }
 
 #[test]
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn connection_headers_concern_one_connection() {
+fn hop_by_hop_headers_are_recognised() {
     let head =
         request("GET / HTTP/1.1\r\nConnection: close, X-Once\r\nX-Once: 1\r\nX-Kept: 2\r\n\r\n");
     let passed: Vec<_> = head
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn idle_time_is_read_from_the_answer() {
+fn idle_time_is_read_from_the_response() {
     let head =
         response("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=4, max=9\r\nContent-Length: 0\r\n\r\n");
     assert_eq!(head.idle_seconds(), Some(4));
--- a/crates/samphiregrade-standins/src/cmd/mod.rs
+++ b/crates/samphiregrade-standins/src/cmd/mod.rs
@@ -41,8 +41,8 @@
     }
 }
 
-/// Refuses arguments that no option has taken.
-fn finish(arguments: Arguments) -> Result<()> {
+/// Returns an error if arguments are left that no option consumed.
+fn reject_unused(arguments: Arguments) -> Result<()> {
     let rest = arguments.finish();
     if let Some(first) = rest.first() {
         bail!(
--- a/crates/samphiregrade-standins/src/cmd/proxy.rs
+++ b/crates/samphiregrade-standins/src/cmd/proxy.rs
@@ -8,7 +8,7 @@
 use samphiregrade_http::run_system;
 use samphiregrade_standins::proxy::FaultProxy;
 
-/// Name of the one link at the control address.
+/// Name of the proxy's single link at the control address.
 const LINK_NAME: &str = "link";
 
 /// Arguments of the command.
@@ -19,7 +19,7 @@
     udp: bool,
 }
 
-/// Reads the arguments.
+/// Parses the arguments.
 pub fn arguments(mut arguments: Arguments) -> Result<ProxyArguments> {
     let parsed = ProxyArguments {
         listen: arguments.value_from_str("--listen")?,
@@ -27,11 +27,11 @@
         control: arguments.value_from_str("--control")?,
         udp: arguments.contains("--udp"),
     };
-    super::finish(arguments)?;
+    super::reject_unused(arguments)?;
     Ok(parsed)
 }
 
-/// Runs the command until the process is ended.
+/// Runs the command until the process is terminated.
 pub fn execute(arguments: &ProxyArguments) -> Result<ExitCode> {
     let (listen, target, control, udp) = (
         arguments.listen,
--- a/crates/samphiregrade-standins/src/cmd/serve.rs
+++ b/crates/samphiregrade-standins/src/cmd/serve.rs
@@ -1,4 +1,4 @@
-//! `samphiregrade-standins engine` and the others that answer HTTP.
+//! `samphiregrade-standins engine` and the other stand-ins that serve HTTP.
 
 use std::net::{SocketAddr, TcpListener};
 use std::process::ExitCode;
@@ -15,7 +15,7 @@
 use samphiregrade_standins::weights::WeightStandin;
 use smol_str::SmolStr;
 
-/// What to run.
+/// The stand-in to run, with its settings.
 enum StandinKind {
     /// A model engine.
     Engine(EngineSettings),
@@ -40,7 +40,7 @@
     Ok(value.map(Duration::from_millis))
 }
 
-/// Reads the arguments of a kind.
+/// Parses the arguments of a kind of stand-in.
 pub fn arguments(kind: &str, mut arguments: Arguments) -> Result<ServeArguments> {
     let listen = arguments.value_from_str("--listen")?;
     let kind = match kind {
@@ -56,7 +56,7 @@
             StandinKind::Instances(lag.unwrap_or_default())
         }
     };
-    super::finish(arguments)?;
+    super::reject_unused(arguments)?;
     Ok(ServeArguments { listen, kind })
 }
 
@@ -102,7 +102,7 @@
     })
 }
 
-/// Runs the command until the process is ended.
+/// Runs the command until the process is terminated.
 pub fn execute(arguments: ServeArguments) -> Result<ExitCode> {
     run_system(async move {
         let listener = TcpListener::bind(arguments.listen).context("listening")?;
--- a/crates/samphiregrade-standins/src/engine.rs
+++ b/crates/samphiregrade-standins/src/engine.rs
@@ -1,9 +1,9 @@
 //! A model engine: continuous batching, a prefix cache, priorities, resumable streams, orders.
 //!
-//! The engine answers OpenAI-style chat completions as server-sent events. Time passes in steps:
+//! The engine serves OpenAI-style chat completions as server-sent events. Time passes in steps:
 //! each step generates one token for every running request and prefills a limited number of
-//! prompt tokens, and takes longer the more requests and context it carries. Answers are a function
-//! of the prompt alone, so that tests can tell a wrong or mixed-up one.
+//! prompt tokens, and takes longer the more requests and context it processes. The response is a
+//! function of the prompt alone, so that tests can detect a wrong or mixed-up response.
 
 mod batch;
 mod cache;
@@ -32,12 +32,12 @@
 
 /// How an engine computes and reports.
 ///
-/// The defaults are assumptions: the brief gives no engine figures.
+/// The defaults are assumptions: the project's requirements give no engine figures.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Requests that run at once; more wait inside the engine.
+    /// Requests that run concurrently; further requests wait inside the engine.
     pub slots: usize,
-    /// Tokens that the prefix cache holds.
+    /// Capacity of the prefix cache in tokens.
     pub cache_tokens: usize,
     /// Time of an empty step.
     pub step_base: Duration,
@@ -49,11 +49,11 @@
     pub step_per_thousand_prefill: Duration,
     /// Prompt tokens prefilled in one step.
     pub prefill_per_step: usize,
-    /// How old a load report may get.
+    /// Largest age of a load report.
     pub report_interval: Duration,
-    /// How late cache events are told.
+    /// Delay before a cache event becomes visible.
     pub event_lag: Duration,
-    /// Share of cache events never told, from 0 to 1.
+    /// Share of cache events that are lost, from 0 to 1.
     pub event_loss: f64,
     /// Whether orders with an older fencing number are refused.
     pub checks_fencing: bool,
@@ -99,14 +99,14 @@
     exports: HashMap<SmolStr, Vec<u64>>,
 }
 
-/// A model engine; cloning it gives another handle to the same one.
+/// A model engine; cloning it gives another handle to the same engine.
 #[derive(Clone, Debug)]
 pub struct EngineStandin {
     inner: Arc<EngineInner>,
 }
 
 impl EngineStandin {
-    /// Makes an engine with an empty cache.
+    /// Creates an engine with an empty cache.
     #[must_use]
     pub fn new(settings: EngineSettings) -> Self {
         let orders = OrderState {
@@ -146,19 +146,19 @@
         lock(&self.inner.state).audit(Instant::now())
     }
 
-    /// Returns the requests that wait inside the engine at the moment.
+    /// Returns the number of requests that currently wait inside the engine.
     #[must_use]
     pub fn queued(&self) -> usize {
         lock(&self.inner.state).queued()
     }
 
-    /// Returns the requests that run or wait at the moment.
+    /// Returns the number of requests that currently run or wait.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         lock(&self.inner.state).in_flight()
     }
 
-    /// Returns the models loaded.
+    /// Returns the loaded models.
     #[must_use]
     pub fn models(&self) -> Vec<SmolStr> {
         lock(&self.inner.orders).models.clone()
@@ -170,12 +170,12 @@
         lock(&self.inner.orders).accepted
     }
 
-    /// Begins or ends leaving.
+    /// Sets whether the engine reports that it is leaving.
     pub fn set_leaving(&self, leaving: bool) {
         lock(&self.inner.orders).leaving = leaving;
     }
 
-    /// Begins or ends withholding load reports and cache events.
+    /// Sets whether the engine withholds load reports and cache events.
     pub fn set_silent(&self, silent: bool) {
         lock(&self.inner.orders).silent = silent;
     }
@@ -193,7 +193,7 @@
                 due = Instant::now();
                 continue;
             };
-            // A late timer must not slow the engine down: the next step is due from the last.
+            // The next step is due relative to the previous due time, so a late timer doesn't slow the engine down.
             due = (due + pause).max(Instant::now().checked_sub(pause).unwrap_or(due));
             tokio::time::sleep_until(due.into()).await;
         }
--- a/crates/samphiregrade-standins/src/engine/batch.rs
+++ b/crates/samphiregrade-standins/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! Continuous batching: waiting and running requests, and what one step does to them.
+//! Continuous batching: the waiting and running requests, and how one step advances them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -17,13 +17,13 @@
 /// Identifies a request to the engine.
 pub type RequestId = SmolStr;
 
-/// How long a request without a listener goes on, so that a resumed stream finds it.
+/// How long a request without a listener continues, so that a resumed stream can join it.
 const ORPHAN_GRACE: Duration = Duration::from_secs(2);
 
-/// How long a finished answer is kept for a resumed stream.
+/// How long a finished response is kept for a resumed stream.
 const REPLAY_TIME: Duration = Duration::from_mins(2);
 
-/// Tokens told in one event, so that small machines carry many streams.
+/// Tokens sent in one event, so that small machines can serve many streams.
 const TOKENS_PER_EVENT: usize = 8;
 
 #[derive(Debug, PartialEq)]
@@ -68,7 +68,7 @@
 }
 
 impl BatchState {
-    /// Makes an idle batch.
+    /// Creates an idle batch.
     pub fn new(settings: &EngineSettings) -> Self {
         Self {
             cache: PrefixCache::new(settings.cache_tokens, settings.event_loss),
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Takes a request, or joins a listener to one that is already known.
+    /// Adds a request, or attaches the listener to an already known request with the same id.
     pub fn attach(
         &mut self,
         id: RequestId,
@@ -95,7 +95,7 @@
             known.orphaned = None;
             known.sent = 0;
             if known.phase == RequestPhase::Finished {
-                known.tell();
+                known.send_progress();
             }
             return;
         }
@@ -110,7 +110,7 @@
             prompt_tokens: call
                 .messages
                 .iter()
-                .map(|one| token_count(&one.content))
+                .map(|message| token_count(&message.content))
                 .sum(),
             cached_tokens: 0,
             answer_tokens: token_count(&answer),
@@ -137,7 +137,7 @@
         self.finished.retain(|(at, _)| !old(at));
     }
 
-    /// Does one step; returns how long it takes, or `None` with nothing to do.
+    /// Runs one step; returns its duration, or `None` if no request runs.
     pub fn step(&mut self, settings: &EngineSettings, now: Instant) -> Option<Duration> {
         self.drop_orphans(now);
         self.start_waiting(settings);
@@ -157,25 +157,25 @@
     }
 
     fn drop_orphans(&mut self, now: Instant) {
-        let mut doomed = Vec::new();
+        let mut expired = Vec::new();
         for request in self.requests.values_mut() {
             if request.phase == RequestPhase::Finished {
                 continue;
             }
-            let gone = request
+            let is_closed = request
                 .listener
                 .as_ref()
                 .is_none_or(mpsc::Sender::is_closed);
-            if !gone {
+            if !is_closed {
                 request.orphaned = None;
                 continue;
             }
             let since = *request.orphaned.get_or_insert(now);
             if now.duration_since(since) > ORPHAN_GRACE {
-                doomed.push(request.id.clone());
+                expired.push(request.id.clone());
             }
         }
-        for id in doomed {
+        for id in expired {
             if let Some(request) = self.requests.remove(&id) {
                 self.waiting.remove(&(request.priority, request.order));
                 self.running.retain(|running| *running != id);
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Prefills and generates; returns the context tokens carried and the tokens prefilled.
+    /// Prefills prompts and generates tokens; returns the batch's context tokens and the number of prefilled tokens.
     fn advance(&mut self, settings: &EngineSettings, now: Instant) -> (usize, usize) {
         let mut prefill = settings.prefill_per_step;
         let mut context = 0;
@@ -228,7 +228,7 @@
                     if request.generated >= request.answer_tokens {
                         request.phase = RequestPhase::Finished;
                     } else if due || request.generated == 1 {
-                        request.tell();
+                        request.send_progress();
                     }
                 }
                 RequestPhase::Waiting | RequestPhase::Finished => {}
@@ -246,7 +246,7 @@
             if request.phase != RequestPhase::Finished {
                 return true;
             }
-            request.tell();
+            request.send_progress();
             let hashes = block_hashes(&request.messages, &request.answer);
             self.cache.insert(&request.session, &hashes, now);
             if let Some(entry) = request.audit.and_then(|index| self.audit.get_mut(index)) {
@@ -259,12 +259,12 @@
         self.running = running;
     }
 
-    /// Returns the requests that wait for a slot.
+    /// Returns the number of requests that wait for a slot.
     pub fn queued(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Returns the requests that run or wait.
+    /// Returns the number of requests that run or wait.
     pub fn in_flight(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
@@ -327,8 +327,8 @@
         }
     }
 
-    /// Sends the listener what it has not been told yet.
-    fn tell(&mut self) {
+    /// Sends the listener the tokens that were generated since the last event.
+    fn send_progress(&mut self) {
         let finished = self.phase == RequestPhase::Finished;
         let Some(listener) = &self.listener else {
             return;
@@ -348,7 +348,7 @@
             event.extend_from_slice(&self.last_event());
         }
         if listener.try_send(Bytes::from(event)).is_err() {
-            // A listener that reads nothing is dropped; it resumes from the begin.
+            // A listener whose queue is full is dropped; a resumed stream restarts from the beginning.
             self.listener = None;
             return;
         }
--- a/crates/samphiregrade-standins/src/engine/cache.rs
+++ b/crates/samphiregrade-standins/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache: blocks of tokens by content, least recently used out first, with holds.
+//! The prefix cache: content-addressed blocks of tokens with least-recently-used eviction and holds.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -18,10 +18,10 @@
 /// Cache events kept for readers.
 const EVENT_LIMIT: usize = 4096;
 
-/// Content address of a block: a hash over its text and all before it.
+/// Content address of a block: a hash over its text and all preceding text.
 pub type BlockHash = u64;
 
-/// One change of the cache that concerns a session.
+/// One change of a session's cached tokens.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct CacheEvent {
@@ -54,7 +54,7 @@
     sequence: u64,
 }
 
-/// Cuts a conversation into blocks; a last part shorter than a block has none.
+/// Returns the hashes of a conversation's blocks; a remainder shorter than a block is ignored.
 pub fn block_hashes(messages: &[ChatMessage], answer: &str) -> Vec<BlockHash> {
     let mut text = String::new();
     for message in messages {
@@ -62,16 +62,16 @@
     }
     text.push_str(answer);
     let mut hasher = DefaultHasher::new();
-    let mut found = Vec::new();
+    let mut blocks = Vec::new();
     for block in text.as_bytes().chunks_exact(BLOCK_BYTES) {
         block.hash(&mut hasher);
-        found.push(hasher.finish());
+        blocks.push(hasher.finish());
     }
-    found
+    blocks
 }
 
 impl PrefixCache {
-    /// Makes an empty cache of so many tokens.
+    /// Creates an empty cache with a capacity in tokens.
     pub fn new(tokens: usize, event_loss: f64) -> Self {
         Self {
             limit: (tokens / BLOCK_TOKENS).max(1),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Returns how many leading tokens are cached, and marks them as used.
+    /// Returns the number of leading tokens that are cached, and marks them as recently used.
     pub fn touch_prefix(&mut self, hashes: &[BlockHash]) -> usize {
         let mut found = 0;
         for hash in hashes {
@@ -101,7 +101,7 @@
         found * BLOCK_TOKENS
     }
 
-    /// Stores a session's blocks, putting out the least recently used ones that nobody holds.
+    /// Stores a session's blocks and evicts the least recently used blocks without a hold.
     pub fn insert(&mut self, session: &SmolStr, hashes: &[BlockHash], now: Instant) {
         for hash in hashes {
             self.touch(*hash);
@@ -112,7 +112,7 @@
             .iter()
             .take_while(|hash| self.blocks.contains_key(hash))
             .count();
-        self.tell(session, present * BLOCK_TOKENS, now);
+        self.record_event(session, present * BLOCK_TOKENS, now);
     }
 
     fn touch(&mut self, hash: BlockHash) {
@@ -128,20 +128,20 @@
         if excess == 0 {
             return;
         }
-        let doomed: Vec<(u64, BlockHash)> = self
+        let evicted: Vec<(u64, BlockHash)> = self
             .order
             .iter()
             .filter(|(_, hash)| !self.pinned.contains_key(hash))
             .take(excess)
             .map(|(clock, hash)| (*clock, *hash))
             .collect();
-        for (clock, hash) in doomed {
+        for (clock, hash) in evicted {
             self.order.remove(&clock);
             self.blocks.remove(&hash);
         }
     }
 
-    fn tell(&mut self, session: &SmolStr, cached_tokens: usize, now: Instant) {
+    fn record_event(&mut self, session: &SmolStr, cached_tokens: usize, now: Instant) {
         self.sequence += 1;
         if rand::random::<f64>() < self.event_loss {
             return;
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Returns the events after a sequence number that are older than the lag.
+    /// Returns the events after a sequence number whose age is at least the lag.
     pub fn events_since(&self, since: u64, now: Instant, lag: Duration) -> Vec<CacheEvent> {
         self.events
             .iter()
@@ -168,7 +168,7 @@
             .collect()
     }
 
-    /// Keeps a session's blocks from being put out; returns the tokens held.
+    /// Protects a session's blocks from eviction; returns the number of held tokens.
     pub fn hold(&mut self, session: &SmolStr, now: Instant) -> usize {
         self.release(session, now);
         let known = self.sessions.get(session).cloned().unwrap_or_default();
@@ -185,7 +185,7 @@
         held
     }
 
-    /// Gives a session's blocks free.
+    /// Releases the hold on a session's blocks.
     pub fn release(&mut self, session: &SmolStr, now: Instant) {
         let Some(hold) = self.holds.remove(session) else {
             return;
@@ -203,29 +203,29 @@
         self.evict();
     }
 
-    /// Returns a session's cached blocks for another engine.
+    /// Returns a session's blocks for import by another engine.
     pub fn export(&self, session: &SmolStr) -> Vec<BlockHash> {
         self.sessions.get(session).cloned().unwrap_or_default()
     }
 
-    /// Takes blocks that another engine has exported.
+    /// Stores blocks that another engine exported.
     pub fn import(&mut self, session: &SmolStr, blocks: &[BlockHash], now: Instant) {
         self.insert(session, blocks, now);
     }
 
-    /// Returns the sessions held, in order of their names.
+    /// Returns the held sessions, ordered by name.
     pub fn held_sessions(&self) -> Vec<SmolStr> {
         let names: std::collections::BTreeSet<_> = self.holds.keys().cloned().collect();
         names.into_iter().collect()
     }
 
-    /// Returns tokens held times seconds so far.
+    /// Returns the token-seconds of all holds so far: held tokens times the seconds of the hold.
     pub fn held_token_seconds(&self, now: Instant) -> f64 {
         let open: f64 = self.holds.values().map(|hold| hold_cost(hold, now)).sum();
         self.held_token_seconds + open
     }
 
-    /// Returns the tokens in use and the tokens held.
+    /// Returns the number of used tokens and of held tokens.
     pub fn usage(&self) -> (usize, usize) {
         let held: HashSet<&BlockHash> = self.pinned.keys().collect();
         (self.blocks.len() * BLOCK_TOKENS, held.len() * BLOCK_TOKENS)
--- a/crates/samphiregrade-standins/src/engine/protocol.rs
+++ b/crates/samphiregrade-standins/src/engine/protocol.rs
@@ -1,4 +1,4 @@
-//! Messages of the engine, and how it counts tokens and composes answers.
+//! Messages of the engine, token counting and the composition of responses.
 
 use std::collections::hash_map::DefaultHasher;
 use std::fmt::Write;
@@ -10,10 +10,10 @@
 /// Bytes of text that count as one token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Tokens of an answer whose prompt asks for no length.
+/// Tokens of a response whose prompt requests no length.
 const DEFAULT_ANSWER: usize = 32;
 
-/// Marker by which a prompt asks for the length of its answer.
+/// Marker with which a prompt requests the length of the response.
 const LENGTH_MARKER: &str = "[answer-tokens=";
 
 /// One message of a conversation.
@@ -25,27 +25,27 @@
     pub content: String,
 }
 
-/// A chat completion as the engine takes it.
+/// A chat completion request.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ChatRequest {
-    /// Model that is to answer.
+    /// Requested model.
     pub model: SmolStr,
-    /// The whole conversation.
+    /// The complete conversation.
     pub messages: Vec<ChatMessage>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: usize,
-    /// Whether the answer is streamed; this engine always streams.
+    /// Whether the response is streamed; this engine always streams.
     #[serde(default)]
     pub stream: bool,
-    /// Lower runs first.
+    /// Scheduling priority; requests with lower values run first.
     #[serde(default)]
     pub priority: i32,
-    /// Identifies the request: the same one again joins or replays the first.
+    /// Identifies the request: a repeated id joins or replays the first request.
     pub request_id: SmolStr,
     /// Program whose cached prefix the request continues.
     #[serde(default)]
     pub session: SmolStr,
-    /// Attempt of the caller's side; a new one starts the stream from its begin.
+    /// Attempt of the caller's side; a new attempt restarts the stream from its beginning.
     #[serde(default)]
     pub attempt: u32,
 }
@@ -71,11 +71,11 @@
     pub fence: u64,
     /// Model to load.
     pub load_model: Option<SmolStr>,
-    /// Role to take.
+    /// Role to change to.
     pub role: Option<SmolStr>,
 }
 
-/// Faults in force, as `POST /control` takes them.
+/// Faults in force, in the form that `POST /control` accepts.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ControlCall {
@@ -87,13 +87,13 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct EngineLoad {
-    /// Requests running.
+    /// Number of running requests.
     pub running: usize,
-    /// Requests waiting inside the engine.
+    /// Number of requests waiting inside the engine.
     pub queued: usize,
-    /// Requests that can run at once.
+    /// Number of requests that can run concurrently.
     pub slots: usize,
-    /// Tokens the cache can hold.
+    /// Capacity of the cache in tokens.
     pub cache_tokens: usize,
     /// Tokens of the cache that are in use.
     pub used_tokens: usize,
@@ -115,9 +115,9 @@
 pub struct AuditEntry {
     /// Request id.
     pub request: SmolStr,
-    /// Program that asked.
+    /// Program that sent the request.
     pub session: SmolStr,
-    /// When it arrived, in milliseconds since the Unix epoch.
+    /// Time when the request started to run, in milliseconds since the Unix epoch.
     pub at_ms: u64,
     /// Tokens of the prompt.
     pub prompt_tokens: usize,
@@ -127,7 +127,7 @@
     pub completion_tokens: usize,
     /// Digest of the prompt.
     pub prompt_digest: u64,
-    /// Whether it ran to its end.
+    /// Whether the request ran to completion.
     pub finished: bool,
 }
 
@@ -135,9 +135,9 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct EngineAudit {
-    /// Every request that began to run.
+    /// Every request that started to run.
     pub requests: Vec<AuditEntry>,
-    /// Tokens held times seconds, over all sessions.
+    /// Held tokens times the seconds of the hold, summed over all sessions.
     pub held_token_seconds: f64,
     /// Sessions still held.
     pub held_sessions: Vec<SmolStr>,
@@ -149,7 +149,7 @@
     text.len().div_ceil(BYTES_PER_TOKEN)
 }
 
-/// Digest of a conversation; it changes with any message and with their order.
+/// Returns the digest of a conversation; the digest depends on every message and on their order.
 #[must_use]
 pub fn prompt_digest(messages: &[ChatMessage]) -> u64 {
     let mut hasher = DefaultHasher::new();
@@ -157,14 +157,14 @@
     hasher.finish()
 }
 
-/// The whole answer to a conversation, cut at `max_tokens`.
+/// Returns the complete response to a conversation, truncated to `max_tokens`.
 #[must_use]
 pub fn answer_text(messages: &[ChatMessage], max_tokens: usize) -> String {
     let last = messages
         .last()
         .map_or("", |message| message.content.as_str());
-    let wanted = asked_length(last).unwrap_or(DEFAULT_ANSWER);
-    let length = wanted.min(max_tokens) * BYTES_PER_TOKEN;
+    let tokens = requested_length(last).unwrap_or(DEFAULT_ANSWER);
+    let length = tokens.min(max_tokens) * BYTES_PER_TOKEN;
     let mut text = format!("[n={} h={:016x}] ", messages.len(), prompt_digest(messages));
     let mut word = 0;
     while text.len() < length {
@@ -175,7 +175,7 @@
     text
 }
 
-fn asked_length(text: &str) -> Option<usize> {
+fn requested_length(text: &str) -> Option<usize> {
     let (_, rest) = text.split_once(LENGTH_MARKER)?;
     let (number, _) = rest.split_once(']')?;
     number.parse().ok()
--- a/crates/samphiregrade-standins/src/instances.rs
+++ b/crates/samphiregrade-standins/src/instances.rs
@@ -1,4 +1,4 @@
-//! The platform's instance list: live and leaving instances, told late.
+//! The instance list: live and leaving instances, reported with a delay.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -14,17 +14,17 @@
 
 use crate::lock;
 
-/// One instance as the list names it.
+/// One instance of the list.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ListedInstance {
     /// Name of the instance, unique in the deployment.
     pub name: SmolStr,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub failure_domain: SmolStr,
     /// Address of its peer listener.
     pub peer_address: SmolStr,
-    /// Whether it is leaving.
+    /// Whether the instance is leaving.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -35,7 +35,7 @@
     since: Instant,
 }
 
-/// The instance list; cloning it gives another handle to the same one.
+/// The instance list; cloning it gives another handle to the same list.
 #[derive(Clone, Debug)]
 pub struct InstanceListStandin {
     lag: Duration,
@@ -43,7 +43,7 @@
 }
 
 impl InstanceListStandin {
-    /// Makes an empty list whose changes are seen after `lag`.
+    /// Creates an empty list whose changes become visible after `lag`.
     #[must_use]
     pub fn new(lag: Duration) -> Self {
         Self {
--- a/crates/samphiregrade-standins/src/keyvalue.rs
+++ b/crates/samphiregrade-standins/src/keyvalue.rs
@@ -1,8 +1,8 @@
-//! The platform's key-value service, by the JSON gateway of etcd's version 3 protocol.
+//! The key-value service, with the JSON gateway protocol of etcd version 3.
 //!
-//! It offers range reads, compare-and-swap transactions, leases and watches. It counts its calls,
-//! limits their rate, and on request has an outage, answers slowly or loses replies after the
-//! write took effect.
+//! The stand-in offers range reads, compare-and-swap transactions, leases and watches. It counts
+//! its calls and limits their rate. On request it simulates an outage, delays responses or loses
+//! replies after the write took effect.
 
 mod protocol;
 mod store;
@@ -24,18 +24,18 @@
 use protocol::{LeaseCall, RangeCall, TxnCall, WatchCall};
 use store::{StoreEvent, StoreState};
 
-/// How often leases are looked over.
+/// Interval between checks for expired leases.
 const LEASE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Events that a slow watcher may leave unread before its watch is cut.
+/// Events that a slow watcher may leave unread before its watch is closed.
 const WATCH_QUEUE: usize = 4096;
 
 /// Limits of the service.
 #[derive(Clone, Debug)]
 pub struct KeyValueSettings {
-    /// Reads accepted a second, waiting watches included.
+    /// Reads accepted per second, including the opening of watches.
     pub reads_per_second: u32,
-    /// Writes accepted a second.
+    /// Writes accepted per second.
     pub writes_per_second: u32,
 }
 
@@ -48,28 +48,28 @@
     }
 }
 
-/// Faults in force, as `POST /control` takes them.
+/// Faults in force, in the form that `POST /control` accepts.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct KeyValueFaults {
     /// Refuse every call.
     pub outage: bool,
-    /// Delay of every answer in milliseconds.
+    /// Delay of every response in milliseconds.
     pub delay_ms: u64,
     /// Share of writes whose reply is lost after they took effect, from 0 to 1.
     pub lose_replies: f64,
 }
 
-/// Calls counted since the start, as `GET /stats` gives them.
+/// Calls counted since the start, in the form that `GET /stats` returns.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct KeyValueStats {
-    /// Range reads.
+    /// Range reads and opened watches.
     pub reads: u64,
     /// Transactions, puts and lease calls.
     pub writes: u64,
-    /// Watches begun.
+    /// Opened watches.
     pub watches: u64,
-    /// Calls refused over the rate.
+    /// Calls refused because of the rate limit.
     pub limited: u64,
 }
 
@@ -93,7 +93,7 @@
     limited: AtomicU64,
 }
 
-/// The key-value service; cloning it gives another handle to the same one.
+/// The key-value service; cloning it gives another handle to the same service.
 #[derive(Clone, Debug)]
 pub struct KeyValueStandin {
     inner: Arc<ServiceInner>,
@@ -106,7 +106,7 @@
 }
 
 impl KeyValueStandin {
-    /// Makes an empty service.
+    /// Creates a service without keys.
     #[must_use]
     pub fn new(settings: KeyValueSettings) -> Self {
         let window = CallWindow {
@@ -160,7 +160,7 @@
 
     fn publish(&self, events: Vec<StoreEvent>) {
         for event in events {
-            // Without watchers there is nobody to tell.
+            // Sending fails if there are no watchers, which is no error.
             let _ = self.inner.events.send(event);
         }
     }
@@ -298,7 +298,7 @@
         true
     }
 
-    /// Returns the calls counted so far.
+    /// Returns the call counts since the start.
     #[must_use]
     pub fn stats(&self) -> KeyValueStats {
         KeyValueStats {
--- a/crates/samphiregrade-standins/src/keyvalue/protocol.rs
+++ b/crates/samphiregrade-standins/src/keyvalue/protocol.rs
@@ -1,13 +1,13 @@
-//! Messages of etcd's JSON gateway, as far as the stand-in takes them.
+//! Messages of etcd's JSON gateway, as far as the stand-in supports them.
 //!
-//! Keys and values are base64, 64-bit numbers are decimal strings, as the gateway's mapping of
-//! protocol buffers to JSON has it.
+//! Keys and values are base64 and 64-bit numbers are decimal strings, according to the gateway's
+//! mapping of protocol buffers to JSON.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use serde::{Deserialize, Deserializer};
 
-/// Reads a base64 field.
+/// Decodes a base64 field.
 fn bytes<'de, Source>(source: Source) -> Result<Vec<u8>, Source::Error>
 where
     Source: Deserializer<'de>,
@@ -33,7 +33,7 @@
     }
 }
 
-/// A range of keys: one key, or all from `key` up to but without `range_end`.
+/// A range of keys: one key, or all keys from `key` (inclusive) to `range_end` (exclusive).
 #[derive(Clone, Debug, Deserialize)]
 pub struct RangeCall {
     #[serde(deserialize_with = "bytes")]
@@ -45,7 +45,7 @@
 }
 
 impl RangeCall {
-    /// Returns whether the range holds the key.
+    /// Returns whether the range contains the key.
     pub fn covers(&self, key: &[u8]) -> bool {
         if self.range_end.is_empty() {
             return self.key == key;
@@ -54,7 +54,7 @@
     }
 }
 
-/// One condition of a transaction, on a key's last change.
+/// One condition of a transaction: the revision of a key's last change.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Compare {
     #[serde(deserialize_with = "bytes")]
@@ -86,7 +86,7 @@
     pub range: Option<RangeCall>,
 }
 
-/// A transaction: the operations of `success` where every condition holds, else of `failure`.
+/// A transaction: runs the operations of `success` if every condition holds, otherwise those of `failure`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct TxnCall {
     #[serde(default)]
@@ -97,7 +97,7 @@
     pub failure: Vec<Operation>,
 }
 
-/// A call on a lease.
+/// A request to grant, renew or revoke a lease.
 #[derive(Clone, Debug, Deserialize)]
 pub struct LeaseCall {
     #[serde(default, rename = "TTL", deserialize_with = "number")]
@@ -106,13 +106,13 @@
     pub id: u64,
 }
 
-/// The begin of a watch.
+/// A request to open a watch.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WatchCall {
     pub create_request: RangeCall,
 }
 
-/// Writes a base64 field.
+/// Encodes a base64 field.
 pub fn encode(bytes: &[u8]) -> String {
     STANDARD.encode(bytes)
 }
--- a/crates/samphiregrade-standins/src/keyvalue/store.rs
+++ b/crates/samphiregrade-standins/src/keyvalue/store.rs
@@ -7,7 +7,7 @@
 
 use super::protocol::{LeaseCall, Operation, PutCall, RangeCall, TxnCall, encode};
 
-/// Changes kept for watches that begin in the past.
+/// Number of changes kept for watches that start at a past revision.
 const HISTORY_LIMIT: usize = 20_000;
 
 /// One change of one key.
@@ -19,7 +19,7 @@
 }
 
 impl StoreEvent {
-    /// Returns the watch message that tells of the change.
+    /// Returns the watch message that reports the change.
     pub fn message(&self) -> Value {
         let revision = self.revision.to_string();
         let event = match &self.value {
@@ -46,7 +46,7 @@
     expires: Instant,
 }
 
-/// All that the service remembers.
+/// The complete state of the service.
 #[derive(Debug)]
 pub struct StoreState {
     revision: u64,
@@ -88,7 +88,7 @@
         json!({"header": self.header(), "kvs": entries, "count": count})
     }
 
-    /// Runs a transaction and returns its reply with the changes made.
+    /// Runs a transaction; returns the reply and the changes made.
     pub fn transact(&mut self, call: &TxnCall) -> (Value, Vec<StoreEvent>) {
         let holds = call.compare.iter().all(|condition| {
             let modified = self
@@ -100,7 +100,7 @@
         let operations = if holds { &call.success } else { &call.failure };
         let writes = operations
             .iter()
-            .any(|one| one.put.is_some() || one.delete.is_some());
+            .any(|operation| operation.put.is_some() || operation.delete.is_some());
         if writes {
             self.revision += 1;
         }
@@ -147,13 +147,13 @@
     where
         Choice: Fn(&[u8], &StoredValue) -> bool,
     {
-        let doomed: Vec<Vec<u8>> = self
+        let deleted: Vec<Vec<u8>> = self
             .keys
             .iter()
             .filter(|(key, stored)| choice(key, stored))
             .map(|(key, _)| key.clone())
             .collect();
-        for key in doomed {
+        for key in deleted {
             self.keys.remove(&key);
             self.record(key, None, events);
         }
@@ -172,7 +172,7 @@
         events.push(event);
     }
 
-    /// Returns the past changes that a watch asks for, and the revision up to which they go.
+    /// Returns the past changes that a watch requests, and the current revision, which is the last one they cover.
     pub fn events_since(&self, call: &RangeCall) -> (Vec<StoreEvent>, u64) {
         if call.start_revision == 0 {
             return (Vec::new(), self.revision);
@@ -201,7 +201,7 @@
         })
     }
 
-    /// Renews a lease; the answer's TTL is 0 where it is gone.
+    /// Renews a lease; the TTL in the reply is 0 if the lease doesn't exist.
     pub fn renew_lease(&mut self, call: &LeaseCall, now: Instant) -> Value {
         let ttl = match self.leases.get_mut(&call.id) {
             Some(lease) => {
@@ -213,7 +213,7 @@
         json!({"result": {"ID": call.id.to_string(), "TTL": ttl.to_string()}})
     }
 
-    /// Ends a lease and removes its keys.
+    /// Revokes a lease and deletes its keys.
     pub fn revoke_lease(&mut self, id: u64) -> Vec<StoreEvent> {
         let mut events = Vec::new();
         if self.leases.remove(&id).is_some() {
@@ -223,7 +223,7 @@
         events
     }
 
-    /// Ends the leases that were not renewed in time.
+    /// Revokes the leases that were not renewed in time.
     pub fn expire_leases(&mut self, now: Instant) -> Vec<StoreEvent> {
         let expired: Vec<u64> = self
             .leases
--- a/crates/samphiregrade-standins/src/lib.rs
+++ b/crates/samphiregrade-standins/src/lib.rs
@@ -1,9 +1,9 @@
-//! Small stand-ins for the systems that samphiregrade talks to.
+//! Small stand-ins for the systems that samphiregrade communicates with.
 //!
-//! Each module holds one of them: a [model engine](engine), a [plain or tool service](service), a
-//! [weight store](weights), the [key-value service](keyvalue) by etcd's JSON gateway protocol, the
-//! [instance list](instances), and a [fault proxy](proxy) that sits on any TCP or UDP link. They
-//! serve tests, experiments and the demo; they are not meant to hold real work.
+//! Each module contains one stand-in: a [model engine](engine), a [plain or tool service](service), a
+//! [weight store](weights), the [key-value service](keyvalue) with etcd's JSON gateway protocol, the
+//! [instance list](instances), and a [fault proxy](proxy) for any TCP or UDP link. The
+//! stand-ins serve tests, experiments and the demo; they are not meant for production.
 //!
 //! ```no_run
 //! use samphiregrade_http::run_system;
@@ -26,7 +26,7 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex, also after a panic elsewhere: stand-ins keep answering.
+/// Locks a mutex and ignores poisoning, so that a stand-in keeps serving after a panic in another thread.
 fn lock<Value>(mutex: &Mutex<Value>) -> MutexGuard<'_, Value> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/samphiregrade-standins/src/main.rs
+++ b/crates/samphiregrade-standins/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process of its own.
+//! Runs one stand-in as a separate process.
 
 mod cmd;
 
--- a/crates/samphiregrade-standins/src/proxy.rs
+++ b/crates/samphiregrade-standins/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A fault proxy for TCP and UDP links: delays, cuts, drops and half-open connections.
+//! A fault proxy for TCP and UDP links: delays, network partitions, packet loss and half-open connections.
 
 use std::collections::HashMap;
 use std::io;
@@ -19,34 +19,34 @@
 
 use crate::lock;
 
-/// Bytes read at once.
+/// Size of the read buffer in bytes.
 const BUFFER: usize = 64 * 1024;
 
-/// How long a UDP sender without traffic is remembered.
+/// Idle time after which the reply socket of a UDP sender is closed.
 const UDP_IDLE: Duration = Duration::from_mins(1);
 
 /// Faults of one link.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
-// Each is a fault of its own, and they may come together.
+// The faults are independent and can be combined.
 #[allow(clippy::struct_excessive_bools)]
 pub struct LinkFaults {
     /// Delay of each read in milliseconds.
     pub delay_ms: u64,
     /// Close every connection and accept none; drop every datagram.
     pub cut: bool,
-    /// Keep connections open, but deliver nothing; what is held back is lost where its sender resets the connection,
+    /// Keep connections open, but deliver nothing; held back bytes are lost if their sender resets the connection,
     /// as on a path that drops packets.
     pub half_open: bool,
-    /// Keep connections open, but deliver nothing of what the far side sends.
+    /// Keep connections open, but deliver nothing that the target sends.
     pub one_way: bool,
-    /// Reset every connection that is open when the fault comes.
+    /// Reset every connection that is open when the fault is set.
     pub reset: bool,
     /// Share of datagrams dropped, from 0 to 1.
     pub drop: f64,
 }
 
-/// A link with its faults and the bytes it carried; cloning gives another handle to the same one.
+/// A link with its faults and its count of forwarded bytes; cloning gives another handle to the same link.
 #[derive(Clone, Debug)]
 pub struct FaultLink {
     faults: watch::Sender<LinkFaults>,
@@ -68,13 +68,13 @@
         self.faults.send_replace(faults);
     }
 
-    /// Returns the bytes carried both ways.
+    /// Returns the number of bytes forwarded in both directions.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
 
-    /// Carries TCP connections from a listener to a target, until the task is dropped.
+    /// Forwards TCP connections from a listener to a target, until the task is dropped.
     ///
     /// # Errors
     ///
@@ -88,11 +88,11 @@
                 continue;
             }
             let link = self.clone();
-            tokio::spawn(async move { link.carry_connection(near, target).await });
+            tokio::spawn(async move { link.forward_connection(near, target).await });
         }
     }
 
-    async fn carry_connection(self, mut near: TcpStream, target: SocketAddr) {
+    async fn forward_connection(self, mut near: TcpStream, target: SocketAddr) {
         let Ok(mut far) = TcpStream::connect(target).await else {
             return;
         };
@@ -104,20 +104,20 @@
         tokio::select! {
             () = async {
                 tokio::join!(
-                    self.carry_bytes(near_read, far_write, false),
-                    self.carry_bytes(far_read, near_write, true),
+                    self.forward_bytes(near_read, far_write, false),
+                    self.forward_bytes(far_read, near_write, true),
                 );
             } => {}
             _ = faults.wait_for(|faults| faults.cut || faults.reset) => {}
         }
         if faults.borrow().reset {
-            // Dropped without lingering, a connection is reset.
+            // With a linger time of zero, dropping a connection resets it.
             let _ = near.set_zero_linger();
             let _ = far.set_zero_linger();
         }
     }
 
-    async fn carry_bytes(&self, mut from: ReadHalf<'_>, mut to: WriteHalf<'_>, back: bool) {
+    async fn forward_bytes(&self, mut from: ReadHalf<'_>, mut to: WriteHalf<'_>, back: bool) {
         let mut faults = self.faults.subscribe();
         let mut buffer = vec![0; BUFFER];
         loop {
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Carries datagrams between a socket and a target, until the task is dropped.
+    /// Forwards datagrams between a socket and a target, until the task is dropped.
     ///
     /// # Errors
     ///
@@ -165,7 +165,9 @@
                     let far = Arc::new(UdpSocket::bind("127.0.0.1:0").await?);
                     far.connect(target).await?;
                     senders.insert(sender, far.clone());
-                    let back = self.clone().carry_back(far.clone(), near.clone(), sender);
+                    let back = self
+                        .clone()
+                        .forward_replies(far.clone(), near.clone(), sender);
                     tokio::spawn(back);
                     far
                 }
@@ -174,7 +176,7 @@
         }
     }
 
-    async fn carry_back(self, far: Arc<UdpSocket>, near: Arc<UdpSocket>, sender: SocketAddr) {
+    async fn forward_replies(self, far: Arc<UdpSocket>, near: Arc<UdpSocket>, sender: SocketAddr) {
         let mut buffer = vec![0; BUFFER];
         loop {
             let received = tokio::time::timeout(UDP_IDLE, far.recv(&mut buffer)).await;
@@ -188,7 +190,7 @@
         }
     }
 
-    /// Sends a datagram on, to the address or to the socket's peer, unless a fault eats it.
+    /// Forwards a datagram to the address or to the socket's peer, unless a fault drops it.
     async fn deliver(&self, datagram: &[u8], socket: Arc<UdpSocket>, to: Option<SocketAddr>) {
         let faults = self.faults.borrow().clone();
         if faults.cut || faults.half_open || rand::random::<f64>() < faults.drop {
@@ -214,7 +216,7 @@
     !matches!(stream.take_error(), Ok(None))
 }
 
-/// Sends a datagram; a failure is a loss, as on any network.
+/// Sends a datagram; a failed send counts as a lost datagram, as on any network.
 async fn send_datagram(datagram: &[u8], socket: &UdpSocket, to: Option<SocketAddr>) {
     let _ = match to {
         Some(address) => socket.send_to(datagram, address).await,
@@ -222,20 +224,20 @@
     };
 }
 
-/// Many links under one control address.
+/// A set of links with one control address.
 #[derive(Clone, Debug, Default)]
 pub struct FaultProxy {
     links: Arc<Mutex<HashMap<SmolStr, FaultLink>>>,
 }
 
 impl FaultProxy {
-    /// Returns the link of that name, made where there is none.
+    /// Returns the link with this name, and creates it if it doesn't exist.
     #[must_use]
     pub fn link(&self, name: &str) -> FaultLink {
         lock(&self.links).entry(name.into()).or_default().clone()
     }
 
-    /// Replaces the faults of every link whose name the choice takes.
+    /// Replaces the faults of every link whose name `choice` selects.
     pub fn set_faults<Choice>(&self, faults: &LinkFaults, choice: Choice)
     where
         Choice: Fn(&str) -> bool,
@@ -247,7 +249,7 @@
         }
     }
 
-    /// Returns the bytes that the chosen links carried.
+    /// Returns the number of bytes that the selected links forwarded.
     pub fn bytes<Choice>(&self, choice: Choice) -> u64
     where
         Choice: Fn(&str) -> bool,
@@ -257,7 +259,7 @@
         chosen.map(|(_, link)| link.bytes()).sum()
     }
 
-    /// Starts the control address: `POST /links/NAME` takes a link's faults.
+    /// Starts serving the control address: `POST /links/NAME` sets a link's faults.
     ///
     /// # Errors
     ///
--- a/crates/samphiregrade-standins/src/service.rs
+++ b/crates/samphiregrade-standins/src/service.rs
@@ -17,11 +17,11 @@
 /// How a service behaves.
 #[derive(Clone, Debug)]
 pub struct ServiceSettings {
-    /// Time one call takes.
+    /// Duration of one call.
     pub delay: Duration,
     /// Whether calls with an older fencing number than one seen for their shard are refused.
     pub checks_fencing: bool,
-    /// Whether the service tells the outcome of an earlier call on request.
+    /// Whether the service reports the outcome of an earlier call on request.
     pub tells_outcome: bool,
 }
 
@@ -35,19 +35,19 @@
     }
 }
 
-/// Faults in force, as `POST /control` takes them.
+/// Faults in force, in the form that `POST /control` accepts.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct ServiceFaults {
-    /// Execute, but never answer.
+    /// Execute calls, but never respond.
     pub hang: bool,
     /// Share of executed calls whose reply is lost, from 0 to 1.
     pub lose_replies: f64,
-    /// Tell in the load report that the service is leaving.
+    /// State in the load report that the service is leaving.
     pub leaving: bool,
 }
 
-/// One executed call, as `GET /audit` lists it.
+/// One executed call, in the form that `GET /audit` returns.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ServiceExecution {
@@ -55,7 +55,7 @@
     pub key: SmolStr,
     /// Name of the tool or path.
     pub tool: SmolStr,
-    /// When it ran, in milliseconds since the Unix epoch.
+    /// Time of the execution, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
@@ -67,7 +67,7 @@
     faults: ServiceFaults,
 }
 
-/// A plain or tool service; cloning it gives another handle to the same one.
+/// A plain or tool service; cloning it gives another handle to the same service.
 #[derive(Clone, Debug)]
 pub struct ServiceStandin {
     settings: ServiceSettings,
@@ -75,7 +75,7 @@
 }
 
 impl ServiceStandin {
-    /// Makes a service that has executed nothing.
+    /// Creates a service without executed calls.
     #[must_use]
     pub fn new(settings: ServiceSettings) -> Self {
         Self {
@@ -135,7 +135,7 @@
         if self.settings.checks_fencing && !self.pass_fence(request) {
             return refusal(412, "the fencing number is old");
         }
-        // A timer would round no delay up to a millisecond.
+        // A zero delay skips the timer, which would round it up to a millisecond.
         if !self.settings.delay.is_zero() {
             tokio::time::sleep(self.settings.delay).await;
         }
--- a/crates/samphiregrade-standins/src/weights.rs
+++ b/crates/samphiregrade-standins/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store: hands out model weights at a limited rate.
+//! The weight store: serves model weights at a limited rate.
 
 use std::io;
 use std::net::TcpListener;
@@ -11,7 +11,7 @@
 
 use crate::lock;
 
-/// The weight store; cloning it gives another handle to the same one.
+/// The weight store; cloning it gives another handle to the same store.
 #[derive(Clone, Debug)]
 pub struct WeightStandin {
     interval: Duration,
@@ -19,7 +19,7 @@
 }
 
 impl WeightStandin {
-    /// Makes a store that hands out one set of weights every `interval`.
+    /// Creates a store that serves one set of weights per `interval`.
     #[must_use]
     pub fn new(interval: Duration) -> Self {
         Self {
