--- a/crates/samphiregrade-http/src/wire/framing.rs
+++ b/crates/samphiregrade-http/src/wire/framing.rs
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Reports to the decoder that the connection was closed in order.
+    /// Reports to the decoder that the peer closed the connection in an orderly way.
     ///
     /// # Errors
     ///
--- a/crates/samphiregrade-http/src/wire/socket.rs
+++ b/crates/samphiregrade-http/src/wire/socket.rs
@@ -269,7 +269,7 @@
         unacknowledged(&self.stream)
     }
 
-    /// Waits until the peer closes the connection, reading up to [`READ_AHEAD`] bytes meanwhile. Safe to cancel.
+    /// Waits until the peer closes the connection, reading about 64 KiB ahead at most meanwhile. Safe to cancel.
     pub async fn wait_for_hangup(&mut self) {
         while self.buffer.len() < READ_AHEAD {
             match self.fill().await {
--- a/crates/samphiregrade-standins/src/engine/batch.rs
+++ b/crates/samphiregrade-standins/src/engine/batch.rs
@@ -348,7 +348,7 @@
             event.extend_from_slice(&self.last_event());
         }
         if listener.try_send(Bytes::from(event)).is_err() {
-            // A listener whose queue is full is dropped; a resumed stream restarts from the beginning.
+            // A listener whose queue is full or closed is dropped; a resumed stream restarts from the beginning.
             self.listener = None;
             return;
         }
--- a/crates/samphiregrade-standins/src/engine/protocol.rs
+++ b/crates/samphiregrade-standins/src/engine/protocol.rs
@@ -11,7 +11,7 @@
 const BYTES_PER_TOKEN: usize = 4;
 
 /// Tokens of a response whose prompt requests no length.
-const DEFAULT_ANSWER: usize = 32;
+const DEFAULT_RESPONSE_TOKENS: usize = 32;
 
 /// Marker with which a prompt requests the length of the response.
 const LENGTH_MARKER: &str = "[answer-tokens=";
@@ -163,7 +163,7 @@
     let last = messages
         .last()
         .map_or("", |message| message.content.as_str());
-    let tokens = requested_length(last).unwrap_or(DEFAULT_ANSWER);
+    let tokens = requested_length(last).unwrap_or(DEFAULT_RESPONSE_TOKENS);
     let length = tokens.min(max_tokens) * BYTES_PER_TOKEN;
     let mut text = format!("[n={} h={:016x}] ", messages.len(), prompt_digest(messages));
     let mut word = 0;
--- a/crates/samphiregrade-standins/src/proxy.rs
+++ b/crates/samphiregrade-standins/src/proxy.rs
@@ -22,7 +22,7 @@
 /// Size of the read buffer in bytes.
 const BUFFER: usize = 64 * 1024;
 
-/// Idle time after which the reply socket of a UDP sender is closed.
+/// Time without replies after which the proxy stops forwarding replies to a UDP sender, until its next datagram.
 const UDP_IDLE: Duration = Duration::from_mins(1);
 
 /// Faults of one link.
