--- a/crates/samphiregrade-bench/src/audit.rs
+++ b/crates/samphiregrade-bench/src/audit.rs
@@ -87,13 +87,13 @@
 #[must_use]
 pub fn audit(
     cluster: &Cluster,
-    notes: &[ObservedProgram],
+    observed_programs: &[ObservedProgram],
     faults: &FaultLog,
 ) -> (ViolationCounts, CacheCounts) {
     let log = ExecutionLog::read(cluster);
     let mut counts = ViolationCounts::default();
-    for note in notes {
-        audit_program(note, &log, &mut counts);
+    for observed in observed_programs {
+        audit_program(observed, &log, &mut counts);
     }
     counts.order = count_out_of_order(&log);
     counts.work_after_leaving = count_work_after_leaving(&log, faults);
@@ -101,13 +101,13 @@
     (counts, count_cache(&log))
 }
 
-fn audit_program(note: &ObservedProgram, log: &ExecutionLog, counts: &mut ViolationCounts) {
-    counts.wrong_answer += u64::from(note.wrong_answers);
-    for call in &note.calls {
+fn audit_program(observed: &ObservedProgram, log: &ExecutionLog, counts: &mut ViolationCounts) {
+    counts.wrong_answer += u64::from(observed.wrong_answers);
+    for call in &observed.calls {
         audit_call(call, log, counts);
     }
-    if let Some((used, limit)) = note.tokens {
-        let generated: u64 = note
+    if let Some((used, limit)) = observed.tokens {
+        let generated: u64 = observed
             .calls
             .iter()
             .map(|call| {
@@ -119,9 +119,9 @@
             counts.budget += 1;
         }
     }
-    let finished = note.verdict == ProgramVerdict::Finished;
+    let finished = observed.verdict == ProgramVerdict::Finished;
     if finished
-        && note
+        && observed
             .program
             .as_ref()
             .is_some_and(|program| log.held_sessions.contains(program))
@@ -211,8 +211,10 @@
 
 /// Returns the time from an interruption to the response, for the calls that were interrupted.
 #[must_use]
-pub fn recovery_times(notes: &[ObservedProgram], faults: &FaultLog) -> Vec<Duration> {
-    let calls = notes.iter().flat_map(|note| &note.calls);
+pub fn recovery_times(observed_programs: &[ObservedProgram], faults: &FaultLog) -> Vec<Duration> {
+    let calls = observed_programs
+        .iter()
+        .flat_map(|observed| &observed.calls);
     let interrupted = calls.filter(|call| call.attempts > 1);
     interrupted
         .filter_map(|call| {
--- a/crates/samphiregrade-bench/src/cluster.rs
+++ b/crates/samphiregrade-bench/src/cluster.rs
@@ -504,7 +504,7 @@
         self.folder.path()
     }
 
-    /// Returns an upstream's base URL, which leads through the upstream's link.
+    /// Returns an upstream's base URL, which leads through the fault proxy.
     #[must_use]
     pub fn direct_address(&self, upstream: &str) -> Option<SmolStr> {
         self.upstream_addresses.get(upstream).cloned()
--- a/crates/samphiregrade-bench/src/overhead.rs
+++ b/crates/samphiregrade-bench/src/overhead.rs
@@ -158,7 +158,8 @@
     Ok(())
 }
 
-/// Measures calls that are sent directly to the primary, and wait for both backups twice.
+/// Measures calls that are sent directly to the primary; each call waits for both backups twice, once for its intent
+/// and once for its outcome.
 async fn measure_through(cluster: &Cluster) -> Result<TimeQuantiles> {
     let domain = cluster.settings.deployment.domains[0].name.clone();
     let mut times = Vec::new();
--- a/crates/samphiregrade-bench/src/run.rs
+++ b/crates/samphiregrade-bench/src/run.rs
@@ -128,12 +128,12 @@
     let started = Instant::now();
     let watch = ClusterWatch::start(&cluster, started);
     let mut log = FaultLog::default();
-    let notes = {
+    let observed_programs = {
         let load = run_load(&arrivals, &callers, &domains, scenario, progress);
         let faults = run_faults(&mut cluster, &scenario.faults, &callers, started, &mut log);
         let load_or_error = async {
             tokio::select! {
-                notes = load => Ok(notes),
+                observed_programs = load => Ok(observed_programs),
                 error = faults => Err(error),
             }
         };
@@ -145,7 +145,7 @@
     tokio::time::sleep(SETTLE_TIME).await;
     let cpu = total_cpu(&cluster).checked_sub(cpu_before).unwrap();
     let watched = watch.finish(&log);
-    let (mut violations, cache) = audit(&cluster, &notes, &log);
+    let (mut violations, cache) = audit(&cluster, &observed_programs, &log);
     violations.configuration_reverted += watched.reverted;
     violations.interrupted_by_shutdown = count_interrupted(&mut cluster, &callers, &mut log);
     #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^52")]
@@ -162,16 +162,16 @@
         policy: scenario.policy,
         seed: scenario.seed,
         programs_per_second: rate,
-        programs: count_programs(&notes),
-        latency_seconds: latencies(&notes),
+        programs: count_programs(&observed_programs),
+        latency_seconds: latencies(&observed_programs),
         cache,
         violations,
-        recovery_seconds: TimeQuantiles::of(recovery_times(&notes, &log)),
+        recovery_seconds: TimeQuantiles::of(recovery_times(&observed_programs, &log)),
         configuration_seconds: TimeQuantiles::of(watched.configuration),
         control,
         queue: watched.queue,
         engine_spread: watched.spread,
-        failures: failures(&notes),
+        failures: failures(&observed_programs),
     })
 }
 
@@ -191,17 +191,17 @@
             let key = format_smolstr!("{}-{}-{number}", scenario.name, scenario.seed);
             let home = Some(domains[arrival.domain].clone());
             let caller = &callers[arrival.domain];
-            let notes = run_program(caller, &arrival.plan, key, home, None).await;
+            let observed_programs = run_program(caller, &arrival.plan, key, home, None).await;
             *finished_count.borrow_mut() += 1;
             if progress {
                 eprintln!(
                     "{}/{} {:?}",
                     finished_count.borrow(),
                     arrivals.len(),
-                    notes[0].verdict
+                    observed_programs[0].verdict
                 );
             }
-            notes
+            observed_programs
         }
     });
     join_all(runs).await.into_iter().flatten().collect()
@@ -288,7 +288,7 @@
     let failures: Vec<_> = callers.iter().flat_map(CallerClient::failures).collect();
     let mut count = 0;
     for stop in &log.stops {
-        // The end of a stop is noticed at most two checks of the faults late.
+        // The end of a stop is recorded at most two fault checks late.
         let end = stop.ended.map_or_else(Instant::now, |(at, _)| {
             at.checked_sub(FAULT_CHECK_INTERVAL * 3).unwrap()
         });
@@ -302,11 +302,11 @@
     count
 }
 
-fn count_programs(notes: &[ObservedProgram]) -> ProgramCounts {
+fn count_programs(observed_programs: &[ObservedProgram]) -> ProgramCounts {
     let mut counts = ProgramCounts::default();
-    for note in notes {
+    for observed in observed_programs {
         counts.begun += 1;
-        match note.verdict {
+        match observed.verdict {
             ProgramVerdict::Finished => counts.finished += 1,
             ProgramVerdict::RefusedNotRun => counts.refused_not_run += 1,
             ProgramVerdict::OutcomeUnknown => counts.outcome_unknown += 1,
@@ -316,14 +316,17 @@
     counts
 }
 
-fn latencies(notes: &[ObservedProgram]) -> BTreeMap<SmolStr, TimeQuantiles> {
+fn latencies(observed_programs: &[ObservedProgram]) -> BTreeMap<SmolStr, TimeQuantiles> {
     let mut classes: BTreeMap<SmolStr, Vec<Duration>> = BTreeMap::new();
-    for note in notes {
+    for observed in observed_programs {
         classes
-            .entry(note.class.clone())
+            .entry(observed.class.clone())
             .or_default()
-            .push(note.latency);
-        classes.entry("all".into()).or_default().push(note.latency);
+            .push(observed.latency);
+        classes
+            .entry("all".into())
+            .or_default()
+            .push(observed.latency);
     }
     classes
         .into_iter()
@@ -331,9 +334,12 @@
         .collect()
 }
 
-fn failures(notes: &[ObservedProgram]) -> BTreeMap<SmolStr, u64> {
+fn failures(observed_programs: &[ObservedProgram]) -> BTreeMap<SmolStr, u64> {
     let mut failures = BTreeMap::new();
-    for failure in notes.iter().filter_map(|note| note.failure.clone()) {
+    for failure in observed_programs
+        .iter()
+        .filter_map(|observed| observed.failure.clone())
+    {
         *failures.entry(failure).or_default() += 1;
     }
     failures
--- a/crates/samphiregrade-http/src/server.rs
+++ b/crates/samphiregrade-http/src/server.rs
@@ -30,9 +30,9 @@
 /// Limits of a server.
 #[derive(Clone, Debug)]
 pub struct ServerSettings {
-    /// Largest accepted body in bytes; a longer one is answered with 413.
+    /// Largest accepted body in bytes; a longer one gets a 413 response.
     pub body_limit: usize,
-    /// Longest time for reading a body; a slower one is answered with 408.
+    /// Longest time for reading a body; a slower one gets a 408 response.
     pub body_timeout: Duration,
     /// Longest time for reading a head; fractions of a second are ignored.
     pub head_timeout: Duration,
--- a/crates/samphiregrade-http/src/wire/framing.rs
+++ b/crates/samphiregrade-http/src/wire/framing.rs
@@ -25,7 +25,7 @@
     #[error("a chunk is malformed; send each chunk with its size and line end")]
     Chunk,
     /// The connection ended inside the body.
-    #[error("the connection ended inside the body; send the whole body")]
+    #[error("the connection ended inside the body; send the complete body")]
     Truncated,
 }
 
--- a/crates/samphiregrade-http/src/wire/socket.rs
+++ b/crates/samphiregrade-http/src/wire/socket.rs
@@ -27,14 +27,14 @@
 /// Buffer space reserved before each read, in bytes.
 const READ_RESERVE: usize = 8 << 10;
 
-/// When the system closes the connection to an unresponsive peer.
+/// When the operating system closes the connection to an unresponsive peer.
 #[derive(Clone, Copy, Debug)]
 pub struct LivenessLimits {
     /// Idle time after which the system sends a keepalive probe.
     pub probe_after: Duration,
     /// Time between two probes.
     pub probe_interval: Duration,
-    /// Unanswered probes after which the system closes the connection.
+    /// Probes without a reply after which the operating system closes the connection.
     pub probe_count: u32,
     /// Longest time that sent bytes may stay unacknowledged.
     pub unacknowledged: Duration,
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -23,7 +23,7 @@
 pub type ProgramId = SmolStr;
 /// Number of a call within its program, from 1.
 pub type SequenceNumber = u32;
-/// Number of a configuration of a shard's copies; only increases.
+/// Version of a shard's placement; only increases.
 pub type ShardEpoch = u64;
 /// Position in a shard's log, from 1; 0 is the position before the first entry.
 pub type LogIndex = u64;
--- a/src/instance/callers.rs
+++ b/src/instance/callers.rs
@@ -337,7 +337,7 @@
         })
     }
 
-    /// Sends a hold that an engine lists to the local primary copy to be checked.
+    /// Sends a hold from an engine's list to the local primary copy, which checks it.
     pub(super) fn audit_hold(&self, program: ProgramId, upstream: UpstreamName) {
         let Ok(shard) = ShardId::of_program(&program) else {
             return;
--- a/src/instance/forward.rs
+++ b/src/instance/forward.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Waits until the map names another primary, after which this one sends no response any more.
+    /// Waits until the map names another primary, after which the previous primary sends no response any more.
     async fn primary_changed(&self, shard: &ShardId, primary: &InstanceRef) {
         let mut maps = self.maps.subscribe();
         loop {
--- a/src/instance/listeners.rs
+++ b/src/instance/listeners.rs
@@ -38,7 +38,7 @@
         join(self.callers.stop(false), self.operators.stop(false)).await;
     }
 
-    /// Closes all listeners after the last response.
+    /// Closes all listeners after the last response, or after [`LAST_RESPONSES_TIMEOUT`].
     ///
     /// The event loops get the stop signal only once no request is running: an event loop that had no
     /// connections at any earlier time does not wait for its requests when it stops.
--- a/src/instance/shards.rs
+++ b/src/instance/shards.rs
@@ -124,7 +124,7 @@
     }
 }
 
-/// Sends each hold that an engine lists to the primary of its program to be checked.
+/// Sends each hold from an engine's list to the primary of its program, which checks it.
 pub async fn audit_holds(
     state: Arc<InstanceState>,
     mut found: mpsc::Receiver<(ProgramId, UpstreamName)>,
--- a/src/keyvalue/client.rs
+++ b/src/keyvalue/client.rs
@@ -146,7 +146,7 @@
     ///
     /// After a lost reply the same swap is sent again. Either it takes effect now, which prevents the first one
     /// from ever taking effect, or the value of the first one is found. This requires a unique value, for
-    /// instance one that contains an attempt id.
+    /// example one that contains an attempt id.
     ///
     /// # Errors
     ///
--- a/src/link/message.rs
+++ b/src/link/message.rs
@@ -45,7 +45,7 @@
     pub upstream: UpstreamTag,
     /// Calls under way.
     pub in_flight: u32,
-    /// Tokens of the running programs that the sender serves there.
+    /// Cached tokens of the sender's running programs at the upstream.
     pub resident_tokens: u64,
 }
 
--- a/src/link/network.rs
+++ b/src/link/network.rs
@@ -175,7 +175,7 @@
             let handler = handler.clone();
             tokio::spawn(async move {
                 if let Err(error) = network.serve_stream(send, receive, handler).await {
-                    log::debug!("link request not answered error={error}");
+                    log::debug!("link request not served error={error}");
                 }
             });
         }
--- a/src/membership/table.rs
+++ b/src/membership/table.rs
@@ -47,7 +47,7 @@
 }
 
 impl PeerView {
-    /// Returns the other instances, in no order.
+    /// Returns the other instances in arbitrary order.
     pub fn peers(&self) -> impl Iterator<Item = &PeerRecord> {
         self.peers.values()
     }
--- a/src/program/decide.rs
+++ b/src/program/decide.rs
@@ -12,7 +12,7 @@
 /// Retry delay for a caller whose request arrives before an earlier call has finished.
 const EARLY_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Divisor that gives a sub-agent's share of its parent's remaining tokens if it requests no number.
+/// Divisor of the parent's remaining tokens that gives the budget of a sub-agent whose request sets no number of tokens.
 const SUB_AGENT_DIVISOR: TokenCount = 4;
 
 /// The decision on the begin of a program.
@@ -143,7 +143,7 @@
 #[must_use]
 pub fn decide_call(table: &ProgramTable, arrival: &CallArrival) -> CallDecision {
     let Some(program) = visible_program(table, &arrival.program, &arrival.organisation) else {
-        // The program may have been forgotten after the call ran, so the outcome is unknown.
+        // The program may have been removed after the call ran, so the outcome is unknown.
         let refusal = Refusal::unknown(RefusalKind::UnknownProgram, "no such program");
         return CallDecision::Refuse(refusal);
     };
--- a/src/program/outcome.rs
+++ b/src/program/outcome.rs
@@ -10,7 +10,7 @@
 /// The final, immutable outcome of a call.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum CallOutcome {
-    /// A model's answer.
+    /// A model's response.
     Answer {
         /// Generated text.
         text: String,
@@ -24,7 +24,7 @@
         /// Body of the response.
         body: String,
     },
-    /// The call was abandoned without an answer.
+    /// The call was abandoned without a response.
     Refused(Refusal),
 }
 
--- a/src/scheduler/learn.rs
+++ b/src/scheduler/learn.rs
@@ -38,7 +38,8 @@
     }
 }
 
-/// Longest pause that counts as a tool's run time; after a longer one the user is assumed to have left.
+/// Longest pause that counts as a return, as after a tool call; after a longer one the user is assumed to have left.
+/// The mean pause includes each pause with at most three times this length.
 const RETURN_WINDOW: Duration = Duration::from_secs(20);
 
 /// Statistics of a program class.
--- a/src/shard/actor.rs
+++ b/src/shard/actor.rs
@@ -376,7 +376,7 @@
         if local.iter().all(|member| view.has_ended(member)) {
             return true;
         }
-        // The domain is reachable but its members are not: they are down, not cut off.
+        // The domain is reachable but its members are not: they are down, not partitioned.
         let remote_timeout = view.suspect_after * REMOTE_SUSPECT_FACTOR;
         let connected = !view.live_in(&self.shard.domain, now).is_empty();
         let all_suspected = local.iter().all(|member| view.suspects(member, now));
@@ -427,7 +427,7 @@
         }
         // The conflicting, newer map has been adopted.
         Err(ProposeError::Conflict(_)) => {}
-        Err(error) => log::info!("shard takeover not made, will retry shard={shard} error={error}"),
+        Err(error) => log::info!("shard takeover failed; retrying shard={shard} error={error}"),
     }
 }
 
--- a/src/shard/command.rs
+++ b/src/shard/command.rs
@@ -16,7 +16,7 @@
 pub enum CallReply {
     /// The final outcome.
     Outcome(CallOutcome),
-    /// The answer is being generated and can be read from the buffer.
+    /// The response is being generated and can be read from the buffer.
     Stream(Arc<StreamBuffer>),
     /// The call was refused; no outcome is stored.
     Refused(Refusal),
--- a/src/shard/context.rs
+++ b/src/shard/context.rs
@@ -62,7 +62,7 @@
 pub struct DispatchJob {
     /// The shard.
     pub shard: ShardId,
-    /// Epoch of the shard, which upstreams use as the fencing token.
+    /// Epoch of the shard, which upstreams use as the fencing number.
     pub epoch: ShardEpoch,
     /// The intent of the call.
     pub intent: CallIntent,
@@ -78,11 +78,11 @@
     pub deadline: SystemTime,
     /// Tokens that the program has spent so far.
     pub attained: u64,
-    /// Time between the program's last answer and this call.
+    /// Time between the program's last response and this call.
     pub pause: Duration,
     /// Engine that held the program's prefix during the pause.
     pub holding_upstream: Option<UpstreamName>,
-    /// Number of attempts in this process that an upstream has failed.
+    /// Number of failed attempts in this process.
     pub failures: u32,
     /// Whether the call may have been dispatched before.
     pub redispatch: bool,
@@ -92,7 +92,7 @@
     pub stream: Arc<StreamBuffer>,
     /// Receives the result of the dispatch.
     pub done: mpsc::Sender<ShardCommand>,
-    /// Cancelled when no caller waits for the answer any more or the copy is no longer the primary's.
+    /// Cancelled when no caller waits for the response any more or the copy is no longer the primary's.
     pub cancel: CancellationToken,
 }
 
--- a/src/shard/primary.rs
+++ b/src/shard/primary.rs
@@ -49,13 +49,13 @@
     detached: bool,
     draining: bool,
     /// Engines' holds on prefixes, with the time of the last request; for holds taken over from an
-    /// earlier primary, the start of the term.
+    /// earlier primary, the start of the tenure.
     holds: HashMap<(ProgramId, UpstreamName), Instant>,
     /// Position before the entries that are applied to this copy but not yet stored at the backups.
     staged_from: LogPosition,
     last_sweep: Instant,
     last_repair: Instant,
-    /// Cancelled when this copy's term as primary ends.
+    /// Cancelled when this copy's tenure as primary ends.
     tenure: CancellationToken,
 }
 
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Ends the term as primary: cancels the running calls and leaves them to the next primary.
+    /// Ends the tenure as primary: cancels the running calls and leaves them to the next primary.
     pub fn step_down(mut self, shard: &ShardId) -> ShardCopy<BackupRole> {
         log::info!(
             "shard primary steps down shard={shard} epoch={}",
--- a/src/shard/primary/replicate.rs
+++ b/src/shard/primary/replicate.rs
@@ -22,7 +22,7 @@
     /// Stores entries that this copy has applied at every backup of the epoch.
     ///
     /// The effects of the entries must not be exposed before this method has returned. If the failure
-    /// domain is cut off from its remote copy and from the key-value service, the state becomes
+    /// domain reaches neither its remote copy nor the key-value service, the state becomes
     /// `detached`: the entries are stored within the domain only.
     pub(super) async fn replicate(
         &mut self,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Writes a snapshot to disk at the start of a term as primary.
+    /// Writes a snapshot to disk at the start of a tenure as primary.
     pub(super) async fn persist_snapshot(&self) {
         if let Some(store) = &self.context.store {
             let position = self.copy.position();
--- a/src/shard/stream.rs
+++ b/src/shard/stream.rs
@@ -1,4 +1,4 @@
-//! The text of a running call's answer, which any number of readers read from any offset.
+//! The text of a running call's response, which any number of readers read from any offset.
 
 use std::sync::atomic::{AtomicU32, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,7 +16,7 @@
     closed: bool,
 }
 
-/// The text of a running call's answer.
+/// The text of a running call's response.
 #[derive(Debug, Default)]
 pub struct StreamBuffer {
     state: Mutex<StreamState>,
@@ -35,7 +35,7 @@
     Restarted,
     /// The complete text was read; contains the stored outcome.
     Finished(CallOutcome),
-    /// The answer will not be completed in this buffer; the reader has to make the request again.
+    /// The response will not be completed in this buffer; the reader has to make the request again.
     Closed,
 }
 
@@ -96,9 +96,9 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for text after an offset in bytes, or for the end of the answer.
+    /// Waits for text after an offset in bytes, or for the end of the response.
     ///
-    /// An offset within a character or beyond the stored answer counts as the end of the text.
+    /// An offset within a character or beyond the stored text counts as the end of the text.
     async fn read(&self, offset: usize, generation: &AtomicU32) -> StreamRead {
         loop {
             let changed = self.changed.notified();
@@ -123,7 +123,7 @@
     }
 }
 
-/// A reader of a running call's answer.
+/// A reader of a running call's response.
 #[derive(Debug)]
 pub struct StreamReader {
     buffer: Arc<StreamBuffer>,
@@ -131,14 +131,14 @@
 }
 
 impl StreamReader {
-    /// Waits for text after an offset in bytes, or for the end of the answer.
+    /// Waits for text after an offset in bytes, or for the end of the response.
     ///
-    /// An offset within a character or beyond the stored answer counts as the end of the text.
+    /// An offset within a character or beyond the stored text counts as the end of the text.
     pub async fn read(&self, offset: usize) -> StreamRead {
         self.buffer.read(offset, &self.generation).await
     }
 
-    /// Waits for the outcome; returns `None` if the answer will not be completed in this buffer.
+    /// Waits for the outcome; returns `None` if the response will not be completed in this buffer.
     pub async fn outcome(&self) -> Option<CallOutcome> {
         loop {
             match self.read(usize::MAX).await {
--- a/src/upstream/runner.rs
+++ b/src/upstream/runner.rs
@@ -37,7 +37,7 @@
 /// Timeout of a request to hold or release a prefix.
 const CACHE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Amount that each answered call adds to the retry budget.
+/// Amount that each call with a response adds to the retry budget.
 const RETRY_SHARE: f64 = 0.2;
 
 /// Initial and maximum retry budget.
@@ -55,7 +55,7 @@
 pub struct RunnerCounters {
     /// Calls sent.
     pub sent: AtomicU64,
-    /// Calls answered.
+    /// Calls with a response.
     pub answered: AtomicU64,
     /// Calls retried.
     pub retried: AtomicU64,
@@ -372,7 +372,7 @@
 
     async fn cache_call(&self, action: &str, program: &ProgramId, upstream: &str) -> bool {
         let config = self.inner.config.load_full();
-        // An engine without a record is gone, and the prefixes that it held with it.
+        // An engine without a record has been removed, and so have the prefixes that it held.
         let Some(spec) = config.upstream(upstream) else {
             return true;
         };
--- a/tests/testsuite/stopping.rs
+++ b/tests/testsuite/stopping.rs
@@ -1,7 +1,7 @@
 //! Instances that stop while callers keep sending: every accepted request gets a final response.
 //!
 //! These tests guard `serve` against a fault seen in another process of this project: after the stop signal it kept
-//! accepting work until it exited, and broke off the work that it had accepted last. The callers keep using open
+//! accepting work until it exited, and aborted the work that it had accepted last. The callers keep using open
 //! connections and opening new ones until the process has exited. They bypass the fault proxy, which would hide how
 //! a connection ended.
 
@@ -28,7 +28,7 @@
 /// Instance that receives the stop signal.
 const STOPPING: &str = "bilbao-a-0";
 
-/// Failure domain whose instance keeps running, so that requests of its programs can always be answered.
+/// Failure domain whose instance keeps running, so that requests of its programs can always get a response.
 const RUNNING_HOME: &str = "bilbao-b";
 
 /// Number of callers that keep sending while the instance stops.
