--- a/crates/samphiregrade-gateway/src/access/freshness.rs
+++ b/crates/samphiregrade-gateway/src/access/freshness.rs
@@ -135,7 +135,7 @@
         self.age(now).is_some_and(|age| age <= max_age)
     }
 
-    /// Returns whether an unknown key may be rejected as unknown: it may have been added by a newer configuration.
+    /// Returns whether an unknown key may be rejected as unknown; if not, a newer configuration may have added the key.
     #[must_use]
     pub fn permits_denial(&self, now: BootTime) -> bool {
         let max_age = self.rule.max_age().unwrap_or(LENIENT_AGE);
--- a/crates/samphiregrade-gateway/src/exchange/attempt.rs
+++ b/crates/samphiregrade-gateway/src/exchange/attempt.rs
@@ -156,7 +156,7 @@
         let sent_at = Instant::now();
         let writing = self.socket.write_until_response(bytes).await;
         self.reusable =
-            writing.map_err(SendFailure::upstream("did not accept the whole request"))?;
+            writing.map_err(SendFailure::upstream("did not accept the complete request"))?;
         loop {
             let head = self.await_head(sent_at).await?;
             if head.status < 200 {
--- a/crates/samphiregrade-gateway/src/exchange/refusal.rs
+++ b/crates/samphiregrade-gateway/src/exchange/refusal.rs
@@ -14,7 +14,7 @@
 const UNREADY_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Time after an instance was cut off until its clients' new connections go to another instance: the instance detects
-/// the cut within 0.6 seconds, and the platform probes its readiness twice, one second apart.
+/// the network partition within 0.6 seconds, and the platform probes its readiness twice, one second apart.
 const FAILOVER_TIME: Duration = Duration::from_millis(2700);
 
 /// Why the instance refuses a request.
--- a/crates/samphiregrade-gateway/src/exchange/relay.rs
+++ b/crates/samphiregrade-gateway/src/exchange/relay.rs
@@ -298,7 +298,7 @@
                 ("late", detail, RefusalReason::Late)
             }
             RelayStop::NotDurable => {
-                let detail = "too few keepers confirmed the turn".to_owned();
+                let detail = "too few keepers acknowledged the turn".to_owned();
                 ("not-durable", detail, RefusalReason::Broken)
             }
             RelayStop::Stopping => {
--- a/crates/samphiregrade-gateway/src/fact/client/asking.rs
+++ b/crates/samphiregrade-gateway/src/fact/client/asking.rs
@@ -57,7 +57,7 @@
                 }
                 let acknowledged = client.store_with_retries(slot, request).await;
                 if acknowledged == Some(placement.generation) {
-                    // The receiver is gone if the caller has given up or has its majority.
+                    // The receiver is gone if the caller has stopped waiting or has its majority.
                     let _ = sender.send(Some(KeeperReply::Stored)).await;
                 }
             });
--- a/crates/samphiregrade-gateway/src/fact/disk.rs
+++ b/crates/samphiregrade-gateway/src/fact/disk.rs
@@ -230,7 +230,7 @@
     fn reply_all(self, written: Option<WritePosition>) {
         for reply in self.replies {
             let locations = written.map(|at| reply.locations(at));
-            // The receiver is gone if the caller has given up; the facts are durable regardless.
+            // The receiver is gone if the caller has stopped waiting; the facts are durable regardless.
             let _ = reply.reply.send(locations);
         }
     }
@@ -269,7 +269,7 @@
                 DiskJob::BeginSegment(reply) => {
                     self.file = None;
                     self.kept_from = self.number + 1;
-                    // The receiver is gone if the caller has given up; the next segment begins regardless.
+                    // The receiver is gone if the caller has stopped waiting; the next segment begins regardless.
                     let _ = reply.send(true);
                 }
                 DiskJob::RemoveOlder => {
@@ -281,7 +281,7 @@
                 DiskJob::WriteState(state, reply) => {
                     let result = self.write_state(&state);
                     log_failure("state", result.as_ref().err());
-                    // The receiver is gone if the caller has given up; the state is written regardless.
+                    // The receiver is gone if the caller has stopped waiting; the state is written regardless.
                     let _ = reply.send(result.is_ok());
                 }
             }
--- a/crates/samphiregrade-gateway/src/fact/health.rs
+++ b/crates/samphiregrade-gateway/src/fact/health.rs
@@ -73,7 +73,7 @@
         self.silence(name, now) < UNREACHABLE_AFTER
     }
 
-    /// Returns whether so many keepers are unreachable that helpers are worth their messages.
+    /// Returns whether so many keepers are unreachable that using helpers justifies the additional messages.
     #[must_use]
     pub fn needs_helpers(&self, placement: &KeeperPlacement, now: Instant) -> bool {
         let direct = |slot: &KeeperSlot| self.is_directly_reachable(&slot.name, now);
--- a/crates/samphiregrade-gateway/src/fact/message.rs
+++ b/crates/samphiregrade-gateway/src/fact/message.rs
@@ -319,7 +319,7 @@
     },
     /// Accounts of upstreams.
     Accounts {
-        /// Accounts of the queried upstreams, and of some that have free capacity.
+        /// Accounts of the queried upstreams, and of the least loaded others of the service.
         accounts: Vec<UpstreamAccount>,
         /// Upstreams that fail according to the outcomes reported by all entries.
         suspects: Vec<UpstreamSuspect>,
--- a/crates/samphiregrade-gateway/src/fact/proofs.rs
+++ b/crates/samphiregrade-gateway/src/fact/proofs.rs
@@ -8,7 +8,7 @@
 use crate::store::ConfigurationProof;
 
 /// Timeout of a request for a proof; the keeper may have to read the configuration first.
-const CONFIRM_TIMEOUT: Duration = Duration::from_millis(300);
+const PROOF_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl KeeperClient {
     /// Returns the reachable keepers in the order in which proofs are requested from them: those of the own failure
@@ -34,7 +34,7 @@
             slot.clone(),
             &placement,
             KeeperRequest::Confirm,
-            CONFIRM_TIMEOUT,
+            PROOF_TIMEOUT,
         );
         match reply.await {
             Some(KeeperReply::Confirmed(proof)) => proof,
--- a/crates/samphiregrade-gateway/src/fact/reader.rs
+++ b/crates/samphiregrade-gateway/src/fact/reader.rs
@@ -48,7 +48,7 @@
             .spawn(move || {
                 while let Ok(job) = queue.recv() {
                     let facts = files.read_all(&job.locations);
-                    // The receiver is gone if the caller has given up.
+                    // The receiver is gone if the caller has stopped waiting.
                     let _ = job.reply.send(facts);
                 }
             })?;
--- a/crates/samphiregrade-gateway/src/fact/rebuild.rs
+++ b/crates/samphiregrade-gateway/src/fact/rebuild.rs
@@ -37,8 +37,8 @@
 /// Reads all facts of the other keepers; returns when no further facts can be recovered.
 ///
 /// A fact that this keeper had acknowledged was stored by a majority, so it is found once the complete keepers among
-/// those read include a member of every majority. If there are too few complete keepers because too many disks were lost at once,
-/// the other keepers have all that is left, and the function returns when each of them has been read.
+/// those read include a member of every majority. If there are too few complete keepers because too many disks were
+/// lost at once, the other keepers have all that is left, and the function returns when each of them has been read.
 pub async fn rebuild_from_others(service: &KeeperService, links: &LinkEndpoint, own_name: &str) {
     let mut sources_read: Vec<SourceProgress> = Vec::new();
     while !service.is_complete() {
--- a/crates/samphiregrade-gateway/src/lib.rs
+++ b/crates/samphiregrade-gateway/src/lib.rs
@@ -9,7 +9,8 @@
 //! * [`upstream`] tracks the services, loads and caches of the upstreams, and chooses one;
 //! * [`fact`] replicates turns and budgets to a majority of the instances with disks, and reaches those through other
 //!   entries if necessary;
-//! * [`store`] follows the platform's key-value service, and stores what keepers forward of it;
+//! * [`store`] follows the platform's key-value service, and keeps the copy of it that keepers serve to other
+//!   instances;
 //! * [`dialect`] is the interface of a platform adapter: names and formats, without any decisions;
 //! * [`role`] assembles these modules into entry and keeper instances;
 //! * [`link`] and [`identity`] connect instances; [`observe`] provides logs and metrics.
--- a/crates/samphiregrade-gateway/src/limits/ledger.rs
+++ b/crates/samphiregrade-gateway/src/limits/ledger.rs
@@ -84,7 +84,7 @@
         let started = organisation.record_started_programs(request, &grant, now + self.rule.window);
         // A refused request belongs to a program as well.
         let refused = !request.begins && grant.granted < request.used + u64::from(request.waiting);
-        self.programs.note(count + u32::from(refused), started);
+        self.programs.record(count + u32::from(refused), started);
         self.record_unsaved(request, now + self.rule.window, count);
         grant
     }
--- a/crates/samphiregrade-gateway/src/limits/organisation.rs
+++ b/crates/samphiregrade-gateway/src/limits/organisation.rs
@@ -16,7 +16,7 @@
 /// Step to which the times are rounded up at which charges leave the window, so that many charges share a few times.
 const CHARGE_STEP: Duration = Duration::from_millis(20);
 
-/// Share of the limit from which on tokens are granted only to requests that wait for them.
+/// Share of the limit: once it is in use, tokens are granted only to requests that wait for them.
 const NEAR_SHARE: f64 = 0.5;
 
 /// Share of the limit that all entries together may hold in advance.
--- a/crates/samphiregrade-gateway/src/role/beliefs.rs
+++ b/crates/samphiregrade-gateway/src/role/beliefs.rs
@@ -47,8 +47,9 @@
 
 /// Follows the configuration, the upstreams and the keepers until `ended` is cancelled.
 ///
-/// Returns the tracker of the tasks that relay requests of other entries to keepers. After the cancellation these tasks
-/// end within a second; an instance that has already waited for its own clients has hardly any left.
+/// Returns the tracker of the tasks that forward requests of other entries to keepers. After the cancellation these
+/// tasks end within a second; an instance that has already waited for its own clients has hardly any of these tasks
+/// left.
 pub(super) fn follow_store(
     settings: &GatewaySettings,
     context: &Arc<EntryContext>,
@@ -301,7 +302,7 @@
         context.outcomes.clone(),
     );
     tokio::spawn(keepers.clone().watch_health(ended.clone()));
-    relays.spawn(relay_requests(
+    relays.spawn(forward_requests(
         context.clone(),
         links,
         settings.listen.links(),
@@ -312,8 +313,9 @@
     Ok(())
 }
 
-/// Relays requests of entries that can't reach the keepers. The service is withdrawn once the instance is stopping.
-async fn relay_requests(
+/// Forwards requests of entries that can't reach the keepers. Reports no reachable keepers once the instance is
+/// stopping.
+async fn forward_requests(
     context: Arc<EntryContext>,
     links: LinkEndpoint,
     address: SocketAddr,
--- a/crates/samphiregrade-gateway/src/role/departure.rs
+++ b/crates/samphiregrade-gateway/src/role/departure.rs
@@ -2,7 +2,7 @@
 //!
 //! Each phase is a type that can only be reached from the previous phase. Every request accepted after the stop signal
 //! must end before the process does, so accepting has to stop at a fixed time. An entry that waited until it had no
-//! connections would never stop while clients keep connecting, and the kill would cut off its last requests.
+//! connections would never stop while clients keep connecting, and the kill would interrupt its last requests.
 //!
 //! Other tasks learn the phase from [`EntryContext::is_stopping`], set from the signal on; from the tokens of
 //! [`ShutdownTokens`], `drain` for draining and `abort` for the abort; and from the token `ended` of `run_entry`,
@@ -116,7 +116,7 @@
     ///
     /// New connections keep arriving if too few other entries are ready. Entries that are stopped together must not all
     /// close at the same time then: on a test day that stops all of them within 1.5 s, the random time lowers the
-    /// refused connections from 331 to 240 a day and raises the day's worth from 0.932 to 0.942 (means of six seeds).
+    /// refused connections from 331 to 240 a day and raises the day's score from 0.932 to 0.942 (means of six seeds).
     async fn accept_until_quiet(&self, rotation: Duration) {
         let latest = self
             .abort_deadline()
--- a/crates/samphiregrade-gateway/src/role/entry.rs
+++ b/crates/samphiregrade-gateway/src/role/entry.rs
@@ -29,9 +29,9 @@
 /// Divisor of the machine's memory that gives the size of the turn cache.
 const TURN_CACHE_DIVISOR: u64 = 10;
 
-/// Time to finish relaying other entries' requests at shutdown: a keeper replies within some milliseconds, and the
+/// Time to finish forwarding other entries' requests at shutdown: a keeper replies within some milliseconds, and the
 /// process has to exit before it is killed.
-const RELAY_TIMEOUT: Duration = Duration::from_millis(150);
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Interval between two sweeps over idle connections to upstreams.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(2);
@@ -124,12 +124,12 @@
     let shutdown = EntryShutdown::begin(context, tokens, settings.times.grace(), accepting);
     shutdown.leave_rotation().await.drain().await.abort().await;
     ended.cancel();
-    if tokio::time::timeout(RELAY_TIMEOUT, relays.wait())
+    if tokio::time::timeout(FORWARD_TIMEOUT, relays.wait())
         .await
         .is_err()
     {
         log::info!(
-            "some relayed requests of other entries are unanswered; those entries retry elsewhere"
+            "some forwarded requests of other entries have no reply; those entries retry elsewhere"
         );
     }
     Ok(())
--- a/crates/samphiregrade-gateway/src/role/keeper.rs
+++ b/crates/samphiregrade-gateway/src/role/keeper.rs
@@ -30,7 +30,7 @@
 
 #[derive(Serialize)]
 struct StopLine {
-    /// Whether all confirmed facts are on disk.
+    /// Whether all acknowledged facts are on disk.
     settled: bool,
     seconds: f64,
 }
@@ -122,8 +122,8 @@
     }
 }
 
-/// Shuts down in order: replies to all received requests, then writes the facts that were confirmed before they were on
-/// disk.
+/// Shuts down in order: replies to all received requests, then writes the facts that were acknowledged before they were
+/// on disk.
 ///
 /// Entries rely on replies of a majority. A keeper that exits while requests are pending withholds replies from turns
 /// that have already run, and if another keeper is not fully back yet, these turns are aborted.
--- a/crates/samphiregrade-gateway/src/role/proofs.rs
+++ b/crates/samphiregrade-gateway/src/role/proofs.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Queries keepers in order; returns whether one has proved that the configuration is fresh.
+/// Queries keepers in order; returns whether a keeper has proved that the configuration is fresh.
 async fn request_proof(context: &EntryContext) -> bool {
     let Some(keepers) = context.keepers.load_full() else {
         return false;
--- a/crates/samphiregrade-gateway/src/role/stream.rs
+++ b/crates/samphiregrade-gateway/src/role/stream.rs
@@ -25,7 +25,7 @@
 };
 use crate::upstream::REREGISTRATION_TIME;
 
-/// Longest wait of a long poll to a keeper without news: links are closed after about twice as long without data.
+/// Longest wait of a long poll to a keeper without changes: links are closed after about twice as long without data.
 const POLL_WAIT: Duration = Duration::from_millis(400);
 
 /// Delay before the next keeper is queried after one that reports nothing.
--- a/crates/samphiregrade-gateway/src/settings.rs
+++ b/crates/samphiregrade-gateway/src/settings.rs
@@ -180,7 +180,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct OrganisationSection {
-    /// Milliseconds after the withdrawal of a key from which on no instance serves requests with this key. If unset,
+    /// Milliseconds after the withdrawal of a key until no instance serves requests with this key any more. If unset,
     /// instances that are cut off continue to accept the keys that they know.
     pub withdrawal_milliseconds: Option<f64>,
     /// Length in seconds of the window in which an organisation's requests are counted.
--- a/crates/samphiregrade-gateway/src/upstream/breaker.rs
+++ b/crates/samphiregrade-gateway/src/upstream/breaker.rs
@@ -37,8 +37,8 @@
         was_open
     }
 
-    /// Records a failure; returns whether this opened the breaker. `certain` is set if nothing listens at the address,
-    /// and opens the breaker at once.
+    /// Records a failure; returns whether this opened the breaker. `certain` is set if one failure is conclusive, for
+    /// example if nothing listens at the address, and opens the breaker at once.
     pub fn record_failure(&mut self, now: Instant, certain: bool) -> bool {
         self.failures += 1;
         let half_open = self.openings > 0 && self.state(now) == BreakerState::Closed;
--- a/crates/samphiregrade-gateway/src/upstream/cache.rs
+++ b/crates/samphiregrade-gateway/src/upstream/cache.rs
@@ -49,7 +49,8 @@
 
     /// Returns the number of prompt tokens that are estimated not to be cached.
     ///
-    /// If the engine is a home of the prompt, the first part counts as cached, since other instances send it there.
+    /// If the engine is a home of the prompt's shared prefix, the prefix counts as cached, since other instances send
+    /// it there.
     #[must_use]
     pub fn uncached(&self, prompt: &[PromptPart], home: bool, now: Instant) -> u32 {
         let mut uncached = 0;
--- a/crates/samphiregrade-gateway/src/upstream/peer.rs
+++ b/crates/samphiregrade-gateway/src/upstream/peer.rs
@@ -236,8 +236,8 @@
     }
 
     /// Returns when a response that has sent nothing for `silent` can't continue because the upstream's failure domain
-    /// was found to be unreachable. The lack of data alone is no reason to give up: an engine may preempt a request for
-    /// that long.
+    /// was found to be unreachable. The lack of data alone is no reason to abandon the response: an engine may preempt
+    /// a request for that long.
     pub async fn wait_until_unreachable(&self, silent: Duration) {
         loop {
             tokio::time::sleep(silent).await;
@@ -377,8 +377,8 @@
     }
 }
 
-/// A request that waits for its response head. If it is dropped after a long time without a response, the request
-/// counts as a failure.
+/// A request that waits for its response head. If it is dropped after a long time without a response, the breaker
+/// counts a failure, and so do the outcomes unless the upstream's failure domain is unreachable.
 pub struct HeadWait {
     outcomes: Arc<OutcomeTracker>,
     upstream: Arc<Upstream>,
--- a/crates/samphiregrade-gateway/src/upstream/run_table.rs
+++ b/crates/samphiregrade-gateway/src/upstream/run_table.rs
@@ -152,13 +152,13 @@
         }
     }
 
-    /// Returns the accounts of the queried upstreams, and of some others of the service that have free capacity.
+    /// Returns the accounts of the queried upstreams, and of the least loaded others of the service.
     pub fn answer(&mut self, query: &AccountQuery, now: Instant) -> Vec<UpstreamAccount> {
         let mut accounts = Vec::with_capacity(query.upstreams.len() + EXTRA_UPSTREAMS);
         for &tag in &query.upstreams {
             accounts.push(self.account(tag, &query.prompt, now));
         }
-        for tag in self.others_with_capacity(query, now) {
+        for tag in self.least_loaded_others(query, now) {
             accounts.push(self.account(tag, &query.prompt, now));
         }
         accounts
@@ -190,7 +190,7 @@
         }
     }
 
-    fn others_with_capacity(&mut self, query: &AccountQuery, now: Instant) -> Vec<UpstreamTag> {
+    fn least_loaded_others(&mut self, query: &AccountQuery, now: Instant) -> Vec<UpstreamTag> {
         let mut others = Vec::new();
         for (&tag, runs) in &mut self.upstreams {
             let active = now.saturating_duration_since(runs.last_start) < EXTRA_ACTIVITY_TIME;
--- a/crates/samphiregrade-gateway/src/upstream/silence.rs
+++ b/crates/samphiregrade-gateway/src/upstream/silence.rs
@@ -1,7 +1,7 @@
 //! Detects upstreams that don't send the response heads they owe: pure.
 //!
 //! Handles upstreams that accept connections and requests but never respond, while their health checks may pass. No
-//! request fails at such an upstream: clients give up after seconds, and every program that uses the upstream is late.
+//! request fails at such an upstream: clients abort after seconds, and every program that uses the upstream is late.
 
 use std::time::{Duration, Instant};
 
@@ -9,12 +9,12 @@
 /// plain services alike; an engine that processes several long prompts takes half of this time.
 const ALLOWED_DELAY: Duration = Duration::from_millis(250);
 
-/// Time without a response after which an upstream counts as failing if the client gives up: no prompt takes that long
+/// Time without a response after which an upstream counts as failing if the client aborts: no prompt takes that long
 /// for a request that engines serve first.
 const FAILING_AFTER: Duration = Duration::from_millis(600);
 
-/// Time without a response from an entire failure domain after which a request that has waited as long is given up: the
-/// network path is interrupted, and retrying costs the caller less than waiting for the deadline.
+/// Time without a response from an entire failure domain after which a request that has waited as long is abandoned:
+/// the network path is interrupted, and retrying costs the caller less than waiting for the deadline.
 const OVERDUE_AFTER: Duration = Duration::from_millis(700);
 
 /// Penalty in milliseconds for each millisecond without a response beyond the allowed time: it soon outweighs a
